--- a/src/crocusspindle/core/ejection.py
+++ b/src/crocusspindle/core/ejection.py
@@ -1,13 +1,14 @@
-"""Bound the capacity that a home may take out of service.
+"""Bound the capacity that a coordinator may eject.
 
-Made for a group whose targets all look bad, and for two homes that judge one group
-at once and cannot hear each other. The harm prevented: the targets that both leave
-in service are fewer than the floor, so healthy ones idle while callers wait.
+Guards against ejecting too much when all targets of a group look bad, and when two
+coordinators without contact evaluate one group at once. The targets that both leave in
+service could otherwise be fewer than the floor, so that healthy targets idle while
+callers wait.
 
-A home that may eject any targets of capacity c can do so on other evidence than the
-other home, so both together can take out 2c. Without a word between them the floor
-f holds for both only if c <= (1 - f) / 2, and then it always holds. A larger share
-needs an agreement on which home has it; docs/design/health.md weighs that.
+Two coordinators may have different evidence, so if each may eject targets of capacity
+c, both together can eject 2c. Without communication the floor f holds for both if and
+only if c <= (1 - f) / 2. A larger c needs an agreement on which coordinator may use it;
+docs/design/health.md compares the two.
 """
 
 from collections.abc import Mapping
@@ -21,14 +22,14 @@
 IN_SERVICE: Final = frozenset({HealthState.HEALTHY, HealthState.SUSPECT})
 
 LOSS_MARGIN: Final = 0.2
-"""Two targets change places only for a gain beyond the noise of 20 requests."""
+"""Minimum difference in loss to swap two targets, above the noise of 20 requests."""
 
 
 class EjectionBudget:
-    """Tell how much of a group's capacity is and may be out of service.
+    """Compute how much of a group's capacity is and may be out of service.
 
-    Slots count as the host list claims them, so that all homes count alike; leaving
-    targets count neither as capacity nor as removed.
+    Slots are counted as stated in the host list, so that all coordinators agree.
+    Leaving targets count neither as capacity nor as removed.
     """
 
     def __init__(
@@ -52,14 +53,14 @@
 
     def removed(self) -> list[TargetRecord]:
         """Return the live targets out of service, the least bad first."""
-        out = [record for record in self.live() if record.state not in IN_SERVICE]
-        return sorted(out, key=lambda record: record.loss)
+        ejected = [record for record in self.live() if record.state not in IN_SERVICE]
+        return sorted(ejected, key=lambda record: record.loss)
 
     def spare_slots(self) -> int:
-        """Return the slots that may still go, below 0 if too many are out."""
+        """Return the slots that may still be ejected, below 0 if too many are."""
         total_slots = sum(record.target.slots for record in self.live())
         removable_slots = (1.0 - self._floor_fraction) * total_slots
-        # Rounded down, but for the noise of fractions such as (1 - 0.8) * 10.
+        # Round down, but tolerate floating-point error as in (1 - 0.8) * 10.
         limit_slots = int(removable_slots / self._homes_at_once + 1e-9)
         return limit_slots - sum(record.target.slots for record in self.removed())
 
@@ -69,8 +70,10 @@
             return True
         return record.target.slots <= self.spare_slots()
 
-    def lesser_evil(self, record: TargetRecord, loss: float) -> TargetRecord | None:
-        """Return an ejected target so much less bad that it should serve instead."""
+    def find_replacement(
+        self, record: TargetRecord, loss: float
+    ) -> TargetRecord | None:
+        """Return an ejected target to serve instead whose loss is lower by a margin."""
         missing_slots = record.target.slots - self.spare_slots()
         for other in self.removed():
             if other.loss + LOSS_MARGIN > loss:
--- a/src/crocusspindle/core/evidence.py
+++ b/src/crocusspindle/core/evidence.py
@@ -1,4 +1,4 @@
-"""Weigh the real work of one target against that of its healthy peers."""
+"""Test the real work of one target against that of healthy targets."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -19,42 +19,43 @@
 UNANSWERED = frozenset({Outcome.TIMEOUT, Outcome.ABANDONED})
 
 CAP_FACTOR = 1.5
-"""Evidence is capped above the threshold, so that a target can clear itself soon."""
+"""Cap of the evidence in thresholds, so that a recovered target is cleared soon."""
 
-RECENT_MS = 5_000.0
-"""Memory of the rates shown to operators and used to rank bad targets."""
+RATE_DECAY_MS = 5_000.0
+"""Time constant of the rates shown to operators and used to rank bad targets."""
 
-WAITING_MS = 500.0
-"""The ages of outstanding requests are passed on some times within this."""
+OUTSTANDING_TTL_MS = 500.0
+"""Ages of outstanding requests expire after this; they are reported several times
+within it."""
 
-RECENT_STEP_MS = 50.0
-"""Fading more often would cost time and change the rates by less than 1 %."""
+RATE_DECAY_STEP_MS = 50.0
+"""Minimum time between decays; more would cost time and change rates by under 1 %."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailureTest:
-    """Hold the steps of a sequential test of one failure rate against another."""
+    """Hold the steps of a sequential test between two failure rates."""
 
     failure_nats: float
     success_nats: float
 
     @classmethod
-    def between(cls, healthy_rate: float, lost: float) -> "FailureTest":
-        """Return the test of targets losing a fraction of what healthy ones do."""
-        bad_rate = healthy_rate + (1.0 - healthy_rate) * lost
+    def between(cls, healthy_rate: float, loss_fraction: float) -> "FailureTest":
+        """Return the test for targets that lose this fraction of healthy work."""
+        bad_rate = healthy_rate + (1.0 - healthy_rate) * loss_fraction
         return cls(
             failure_nats=log(bad_rate / healthy_rate),
             success_nats=log((1.0 - bad_rate) / (1.0 - healthy_rate)),
         )
 
     def step_nats(self, failed: bool) -> float:
-        """Return the nats of one piece of work."""
+        """Return the nats of one outcome."""
         return self.failure_nats if failed else self.success_nats
 
 
 @dataclass(frozen=True, slots=True)
 class Reference:
-    """Hold what a group has learnt of healthy work, and what it takes to eject."""
+    """Hold what a group has learnt of healthy work, and the ejection threshold."""
 
     threshold_nats: float
     healthy_rate: float
@@ -64,10 +65,10 @@
 
 
 class Cusum:
-    """Sum the steps of a sequential test, never below 0, since its last 0.
+    """Sum the steps of a sequential test since the sum was last 0, never below 0.
 
-    The floor at 0 finds a target that was well for a day as quickly as a new one:
-    good hours are no credit for bad seconds.
+    Because of the lower bound, a target that was healthy for a day is detected as
+    quickly as a new one.
     """
 
     __slots__ = ("_cap_nats", "latency_ms", "nats", "samples", "since_ms", "total")
@@ -77,7 +78,7 @@
         self.clear(0.0)
 
     def clear(self, now_ms: float) -> None:
-        """Begin anew."""
+        """Reset the sum."""
         self.nats = 0.0
         self.samples = 0
         self.total = 0.0
@@ -92,7 +93,7 @@
         now_ms: float,
         floor_nats: float = 0.0,
     ) -> None:
-        """Add a step, the observed value that it stands for and the latency."""
+        """Add a step, the observed value that it is based on and the latency."""
         nats = self.nats + step_nats
         if nats <= floor_nats:
             if self.samples:
@@ -107,7 +108,7 @@
 
 
 class TargetEvidence:
-    """Collect the evidence of real work against one target."""
+    """Collect the evidence against one target from its real work."""
 
     def __init__(self, settings: HealthSettings, now_ms: float) -> None:
         cap_nats = CAP_FACTOR * settings.most_threshold_nats
@@ -120,161 +121,164 @@
         self.fresh_latencies = [0] * (BUCKETS + 1)
         self.fresh_works = 0
         self.fresh_failures = 0
-        self._works = 0.0
+        self._attempts = 0.0
         self._failures = 0.0
         self._unreached = 0.0
         self._answers = 0.0
         self._latency_ms = 0.0
-        self._recent_at_ms = now_ms
+        self._decayed_at_ms = now_ms
         self.clear(now_ms)
 
     def clear(self, now_ms: float) -> None:
-        """Forget all that speaks against the target; keep the shown rates."""
+        """Reset the evidence against the target; keep the rates shown to operators."""
         for test in (self.mild, self.hard, self.slow):
             test.clear(now_ms)
         self._silent_nats = 0.0
-        self._waiting_silent_nats = 0.0
+        self._outstanding_silent_nats = 0.0
         self._unreached_nats = 0.0
-        self._waiting_slow_nats = 0.0
-        self._waited_at_ms = now_ms
-        self._answered_sent_ms = float("-inf")
+        self._outstanding_slow_nats = 0.0
+        self._outstanding_at_ms = now_ms
+        self._last_answered_sent_ms = float("-inf")
 
     def observe(
         self, sample: Sample, hazard: float, reference: Reference, now_ms: float
     ) -> None:
-        """Take one ended sending, whose latency has this hazard, into account."""
+        """Record one ended attempt, whose latency has this hazard."""
         outcome = sample.outcome
-        self._stop_waiting(sample, reference, now_ms)
-        self._hear(sample, min(hazard, reference.threshold_nats / 2.0), now_ms)
-        # A shedding target is busy and a wrong request is its caller's fault:
-        # neither speaks for or against the target.
+        self._remove_outstanding(sample, reference, now_ms)
+        self._update_silence(
+            sample, min(hazard, reference.threshold_nats / 2.0), now_ms
+        )
+        # A shedding target is busy and an invalid request is its caller's fault:
+        # neither is evidence about the target.
         if outcome is not Outcome.OK and outcome in NEUTRAL:
             return
         if outcome is not Outcome.ABANDONED:
-            self._judge_failure(sample, reference, now_ms)
+            self._update_failures(sample, reference, now_ms)
         if outcome is Outcome.OK or outcome is Outcome.ERROR:
             step_nats = self._slow_gain * hazard - self._slow_cost_nats
-            floor_nats = -self._waiting_slow_nats
+            floor_nats = -self._outstanding_slow_nats
             self.slow.add(step_nats, hazard, sample.latency_ms, now_ms, floor_nats)
             self._answers += 1.0
             self._latency_ms += sample.latency_ms
             self.fresh_latencies[bucket_of(sample.latency_ms)] += 1
         elif outcome is not Outcome.REFUSED:
-            # Cut short: it would have taken at least this long.
+            # Cut off, so its full latency would be at least this long.
             step_nats = self._slow_gain * hazard
             self.slow.add(step_nats, hazard, sample.latency_ms, now_ms)
 
-    def _stop_waiting(
+    def _remove_outstanding(
         self, sample: Sample, reference: Reference, now_ms: float
     ) -> None:
-        """Take out what the request said while it was outstanding.
+        """Remove the evidence that the request contributed while outstanding.
 
-        Its end says it again; counted twice until the next tick, usual requests
-        that take a little long made eight times the false alarms.
+        Its end contributes the same evidence. Counted twice until the next tick,
+        typical requests that take slightly long would cause eight times as many false
+        alarms.
         """
-        age_ms = sample.latency_ms - (now_ms - self._waited_at_ms)
-        if age_ms <= 0.0 or not self._waiting_slow_nats:
+        age_ms = sample.latency_ms - (now_ms - self._outstanding_at_ms)
+        if age_ms <= 0.0 or not self._outstanding_slow_nats:
             return
         hazard = reference.latency.hazard(age_ms)
-        waiting_nats = self._waiting_slow_nats - self._slow_gain * hazard
-        self._waiting_slow_nats = max(0.0, waiting_nats)
-        waiting_nats = self._waiting_silent_nats
-        waiting_nats -= min(hazard, reference.threshold_nats / 2.0)
-        self._waiting_silent_nats = max(0.0, waiting_nats)
+        outstanding_nats = self._outstanding_slow_nats - self._slow_gain * hazard
+        self._outstanding_slow_nats = max(0.0, outstanding_nats)
+        outstanding_nats = self._outstanding_silent_nats
+        outstanding_nats -= min(hazard, reference.threshold_nats / 2.0)
+        self._outstanding_silent_nats = max(0.0, outstanding_nats)
 
-    def _hear(self, sample: Sample, hazard: float, now_ms: float) -> None:
+    def _update_silence(self, sample: Sample, hazard: float, now_ms: float) -> None:
         outcome = sample.outcome
         if outcome is not Outcome.OK and outcome in UNANSWERED:
             self._silent_nats = min(self._cap_nats, self._silent_nats + hazard)
         elif outcome is not Outcome.REFUSED:
             self._silent_nats = 0.0
-            self._waiting_silent_nats = 0.0
+            self._outstanding_silent_nats = 0.0
             self._unreached_nats = 0.0
             sent_at_ms = now_ms - sample.latency_ms
-            self._answered_sent_ms = max(self._answered_sent_ms, sent_at_ms)
+            self._last_answered_sent_ms = max(self._last_answered_sent_ms, sent_at_ms)
 
-    def _judge_failure(
+    def _update_failures(
         self, sample: Sample, reference: Reference, now_ms: float
     ) -> None:
-        self._fade(now_ms)
+        self._decay(now_ms)
         failed = sample.outcome is not Outcome.OK
-        self._works += 1.0
+        self._attempts += 1.0
         self.fresh_works += 1
         if failed:
             self._failures += 1.0
             self._unreached += sample.outcome in UNREACHED
             self.fresh_failures += 1
-        for sums, test in ((self.mild, reference.mild), (self.hard, reference.hard)):
-            sums.add(test.step_nats(failed), failed, sample.latency_ms, now_ms)
+        for cusum, test in ((self.mild, reference.mild), (self.hard, reference.hard)):
+            cusum.add(test.step_nats(failed), failed, sample.latency_ms, now_ms)
 
-    def _fade(self, now_ms: float) -> None:
-        age_ms = now_ms - self._recent_at_ms
-        if age_ms < RECENT_STEP_MS:
+    def _decay(self, now_ms: float) -> None:
+        age_ms = now_ms - self._decayed_at_ms
+        if age_ms < RATE_DECAY_STEP_MS:
             return
-        keep = exp(-age_ms / RECENT_MS)
-        self._recent_at_ms = now_ms
-        self._works *= keep
-        self._failures *= keep
-        self._unreached *= keep
-        self._answers *= keep
-        self._latency_ms *= keep
-
-    def wait(
+        decay = exp(-age_ms / RATE_DECAY_MS)
+        self._decayed_at_ms = now_ms
+        self._attempts *= decay
+        self._failures *= decay
+        self._unreached *= decay
+        self._answers *= decay
+        self._latency_ms *= decay
+
+    def set_outstanding(
         self, ages_ms: Sequence[float], reference: Reference, now_ms: float
     ) -> None:
-        """Replace what the requests still outstanding say by their ages.
+        """Replace the evidence of the outstanding requests by that of their ages.
 
-        No request says more of silence than half the threshold: one stuck connection
-        ejects nobody, both slots of a small target stuck do.
+        A request contributes at most half the threshold to silence, so that one stuck
+        connection ejects no target, but two stuck slots of a small target do.
         """
         silent_nats = 0.0
         slow_nats = 0.0
         for age_ms in ages_ms:
             hazard = reference.latency.hazard(age_ms)
             slow_nats += self._slow_gain * hazard
-            # An older one may hang on a connection gone silent while the target
-            # answers on others: it counts only if nothing sent later was answered.
-            if now_ms - age_ms > self._answered_sent_ms:
+            # Counts for silence only if no later request was answered: an older one may
+            # hang on one stuck connection while the target answers on others.
+            if now_ms - age_ms > self._last_answered_sent_ms:
                 silent_nats += min(hazard, reference.threshold_nats / 2.0)
-        self._waited_at_ms = now_ms
-        self._waiting_slow_nats = slow_nats
-        # The sum of both is floored at 0, not each part: while one slot holds long
-        # work, the short work of the other speaks for the target.
+        self._outstanding_at_ms = now_ms
+        self._outstanding_slow_nats = slow_nats
+        # Only the total is bounded by 0: while one slot holds long work, short work in
+        # another slot counts in favour of the target.
         self.slow.nats = max(self.slow.nats, -slow_nats)
-        self._waiting_silent_nats = silent_nats
+        self._outstanding_silent_nats = silent_nats
 
-    def forget_waiting(self, now_ms: float) -> None:
-        """Drop what requests said that nobody calls outstanding any more.
+    def expire_outstanding(self, now_ms: float) -> None:
+        """Drop the evidence of outstanding requests that are no longer reported.
 
-        A driver has no ages to pass on for an idle target; what a hedge or a
-        cancelled request left behind would speak against it for good.
+        A driver reports no ages for an idle target, so the evidence left by a hedge or
+        a cancelled request would count against it indefinitely.
         """
-        if now_ms - self._waited_at_ms > WAITING_MS:
-            self._waiting_slow_nats = 0.0
-            self._waiting_silent_nats = 0.0
+        if now_ms - self._outstanding_at_ms > OUTSTANDING_TTL_MS:
+            self._outstanding_slow_nats = 0.0
+            self._outstanding_silent_nats = 0.0
 
     @property
     def silent_nats(self) -> float:
-        """Return what silence alone says."""
-        nats = self._silent_nats + self._waiting_silent_nats
-        # Work must have met silence, too: a try from elsewhere ejects nobody alone.
+        """Return the evidence of silence."""
+        nats = self._silent_nats + self._outstanding_silent_nats
+        # A failed check from elsewhere counts only if work met silence here, too.
         return min(self._cap_nats, nats + self._unreached_nats) if nats else 0.0
 
-    def note_unreached(self, nats: float) -> None:
-        """Add that another failure domain could not reach the target either."""
+    def add_unreached(self, nats: float) -> None:
+        """Add the evidence that another failure domain cannot reach the target."""
         self._unreached_nats = nats
 
     @property
     def slow_nats(self) -> float:
-        """Return what latency alone says."""
+        """Return the evidence of latency."""
         if not self.slow.samples:
             return 0.0
-        nats = self.slow.nats + self._waiting_slow_nats
+        nats = self.slow.nats + self._outstanding_slow_nats
         return min(self._cap_nats, max(0.0, nats))
 
     @property
     def nats(self) -> float:
-        """Return what the strongest test says."""
+        """Return the evidence of the strongest test."""
         return max(self.mild.nats, self.hard.nats, self.slow_nats, self.silent_nats)
 
     @property
@@ -285,11 +289,11 @@
     @property
     def error_rate(self) -> float:
         """Return the recent fraction of failed work."""
-        return self._failures / self._works if self._works else 0.0
+        return self._failures / self._attempts if self._attempts else 0.0
 
     @property
     def latency_ms(self) -> float:
-        """Return the recent mean latency of answered work."""
+        """Return the recent mean latency of answered work, 0 if there is none."""
         return self._latency_ms / self._answers if self._answers else 0.0
 
     def summary(self, healthy_latency_ms: float) -> Evidence:
--- a/src/crocusspindle/core/health_state.py
+++ b/src/crocusspindle/core/health_state.py
@@ -1,4 +1,4 @@
-"""Define the samples, states, changes and settings of health judging."""
+"""Define the samples, states, changes and settings of health evaluation."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class Outcome(Enum):
-    """Tell how one sending of a request to a target ended."""
+    """Say how one attempt of a request on a target ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -19,7 +19,7 @@
 
 
 class HealthState(Enum):
-    """Tell how a group uses a target; a ramping target is HEALTHY."""
+    """Say how a group uses a target; a ramping target is HEALTHY."""
 
     HEALTHY = "healthy"
     SUSPECT = "suspect"
@@ -28,7 +28,7 @@
 
 
 class Cause(Enum):
-    """Tell which observation spoke most against a target."""
+    """Name the strongest kind of evidence against a target."""
 
     ERRORS = "errors"
     SILENCE = "silence"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Report one ended sending; ``latency_ms`` of ABANDONED is the age so far."""
+    """Report one ended attempt; ``latency_ms`` of ABANDONED is the age so far."""
 
     target: TargetId
     outcome: Outcome
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Hold what speaks against a target.
+    """Hold the evidence against a target.
 
-    ``nats`` is a log-likelihood ratio; ``loss`` the fraction of its useful work
-    that the target loses by failing and by being slow.
+    ``nats`` is a log-likelihood ratio. ``loss`` is the fraction of its useful work that
+    the target loses by failures and slowness.
     """
 
     cause: Cause
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SecondOpinionWanted:
-    """Ask for one try of a target from another failure domain."""
+    """Request a reachability check of a target from another failure domain."""
 
     target: TargetId
     evidence: Evidence
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupSuspect:
-    """Report that the path or this home, not a target, looks at fault."""
+    """Report that the path or this coordinator seems faulty rather than a target."""
 
     evidence: Evidence
 
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetHealth:
-    """Show one target for ``status``."""
+    """Hold the health of one target as shown by ``status``."""
 
     target: TargetId
     state: HealthState
@@ -130,72 +130,71 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthSettings:
-    """Hold the limits of health judging; docs/design/health.md has the figures."""
+    """Hold the limits of health evaluation; docs/design/health.md has the figures."""
 
-    # A quarter of the aim of one a day and service, for what the figures do not know
-    # of the callers' work.
+    # A quarter of the objective of one per day and service, as a margin for what the
+    # figures do not cover of the callers' work.
     false_ejections_per_day: float = 0.25
-    # What the work of the group makes of that; docs/design/health.md has the figures.
-    # Five errors alone eject nobody below the least; the most suits 20,000 requests
-    # a second, beyond any group that one home can see.
+    # Bounds of the threshold derived from that. Below the minimum, five errors alone
+    # would eject; the maximum suits 20,000 requests/s, more than one coordinator gets.
     least_threshold_nats: float = 12.0
     most_threshold_nats: float = 24.0
-    # What the peers' work over the same time must add: less than the whole, since it
-    # is a second look at the same samples that has to rule a shared cause out; at
-    # half, bursts of shared errors ejected somebody now and then.
+    # Fraction of the threshold by which a target must differ from its peers in the same
+    # time to rule out a shared cause. Below 1, as it tests the same samples again; at
+    # 0.5, bursts of shared errors occasionally eject a target.
     contrast_fraction: float = 0.7
-    # Fractions of work a bad target loses, tested side by side: 10 % is the least
-    # worth an ejection, 35 % is quick for all that is worse.
+    # Fractions of work lost by a bad target, tested in parallel: 10 % is the minimum
+    # worth an ejection, 35 % detects higher losses quickly.
     mild_failure: float = 0.1
     hard_failure: float = 0.35
-    # Below 1 % a single stray error would carry too much of the threshold.
+    # Below 1 % a single stray error would contribute too much to the threshold.
     least_failure_rate: float = 0.01
-    # Three times as slow is the alternative: it finds x5 as quickly as x5 does.
+    # The alternative hypothesis is three times as slow: it detects five times as slow
+    # as quickly as the alternative of five does.
     slow_factor: float = 3.0
-    # Slower than peers by less harms nobody: a target in another failure domain
-    # of a quick service is twice as slow as its peers and healthy.
+    # A smaller difference to the peers is harmless: in a fast service, a healthy target
+    # in another failure domain is twice as slow as its peers.
     least_slow_ratio: float = 2.0
     least_slow_excess_ms: float = 20.0
-    # Another failure domain fails to reach one healthy target in 1,000: e^7. It is
-    # asked as soon as its answer can decide.
+    # Another failure domain fails to reach one healthy target in 1,000: e^7. The
+    # opinion is requested as soon as it can be decisive.
     opinion_nats: float = 7.0
-    # A try takes about 25 ms and two hops of 1.5 ms; ten times that is no answer.
-    opinion_wait_ms: float = 300.0
-    # Nearly all work must fail from here before one success elsewhere, which a
-    # target failing 30 % gives in 70 of 100 tries, blames the path.
+    # A check takes about 25 ms and two hops of 1.5 ms; ten times that is a timeout.
+    opinion_timeout_ms: float = 300.0
+    # Nearly all work must fail from here before a success elsewhere attributes the
+    # failure to the path: a target failing 30 % succeeds in 70 of 100 checks.
     path_failure_rate: float = 0.9
-    # Short, as a false ejection costs capacity and a return costs few trials.
+    # Short, since a false ejection costs capacity and a return costs only a few trials.
     ejection_ms: float = 5_000.0
-    # Doubled by each relapse up to this, so a flapping target is nearly always out.
+    # Doubled by each relapse up to this, so that a flapping target is mostly ejected.
     longest_ejection_ms: float = 300_000.0
-    # A target well for this long has half paid off its relapses.
+    # A target that stays healthy for this long has its relapse count halved.
     relapse_half_life_ms: float = 600_000.0
-    # Trials are real requests of callers: ten a second harm few of them.
+    # Trials are real requests of callers; ten a second affect few callers.
     trial_interval_ms: float = 100.0
-    # Passing takes about 10 good trials; a target failing 30 % passes in 3 of 100.
+    # About 10 successful trials; a target failing 30 % passes in 3 of 100 cases.
     trial_pass_nats: float = 3.5
-    # Two failures, or one and slow answers; one stray error fails nobody.
+    # Two failures, or one and slow answers; a single stray error is not enough.
     trial_fail_nats: float = 4.0
-    # A group with few idempotent requests must get its target back, too.
+    # Also returns a target to service in a group with few idempotent requests.
     longest_probation_ms: float = 15_000.0
-    # A cold target fills its caches and pools; 10 s at 28 requests/s is 280.
+    # A cold target fills its caches and pools; 10 s at 28 requests/s are 280 requests.
     ramp_ms: float = 10_000.0
     cold_weight: float = 0.1
     probation_weight: float = 0.05
-    # A suspect is used when better targets are full, seldom else.
+    # A suspect is used mainly when better targets are full.
     suspect_weight: float = 0.25
-    # A target known bad that the floor keeps is used when nothing else is free; above
-    # the weight on probation, as placement gives that one trials only, and a target
-    # that gets nothing more would be ejected in all but name.
+    # A bad target that the floor keeps in service is used when no other is free. Above
+    # the probation weight, which allows trials only and so would amount to an ejection.
     withheld_weight: float = 0.1
-    # Homes that may judge one group at once without seeing each other.
+    # Coordinators that may evaluate one group at once without contact to each other.
     homes_at_once: int = 2
-    # The healthy rate and latencies of the group are learnt anew in about 20 s:
-    # long against detection, short against a change of the callers' work.
+    # Time constant of the learnt failure rate and latencies of healthy work: long
+    # compared with detection, short compared with changes of the callers' work.
     reference_ms: float = 20_000.0
     refresh_ms: float = 1_000.0
-    # A target with this much evidence does not teach what healthy is.
+    # The reference of healthy work is not learnt from targets with more evidence.
     clean_nats: float = 4.0
-    # Before the group is called suspect again, or another domain asked again: a
-    # handover takes as long, and sooner would only shuttle the group.
-    repeat_interval_ms: float = 5_000.0
+    # Minimum time between two reports that the group is suspect, or second opinions. A
+    # handover takes as long; earlier ones would move the group back and forth.
+    report_interval_ms: float = 5_000.0
