--- a/src/crocusspindle/core/admission.py
+++ b/src/crocusspindle/core/admission.py
@@ -1,4 +1,4 @@
-"""Decide which queued requests are refused, and when they may come back."""
+"""Decide which queued requests are refused and when their callers may retry."""
 
 import random
 from collections.abc import Mapping
@@ -8,43 +8,42 @@
 from crocusspindle.core.attempts import Attempts
 from crocusspindle.core.decisions import Arrival, RefusalReason, Refuse
 from crocusspindle.core.fair_queue import FairQueue
-from crocusspindle.core.refusal import ReturnTimes
+from crocusspindle.core.refusal import RetryTimes
 from crocusspindle.core.requests import PendingRequest
 from crocusspindle.core.roster import Roster
 from crocusspindle.ids import RequestId
 
 NO_TARGET_RETRY_MS: Final = 1_000.0
-"""The host list lags by seconds; asking more often than once a second finds
-nothing new."""
+"""The host list lags by seconds, so retrying more than once a second is useless."""
 
 
 class Admission:
-    """Refuse at once what would wait past its deadline."""
+    """Refuse requests on arrival that would wait past their deadline."""
 
     def __init__(
         self,
         max_queued: int,
         queue: FairQueue,
-        roster: Roster,
+        target_pool: Roster,
         attempts: Attempts,
         generator: random.Random,
     ) -> None:
         self._max_queued = max_queued
         self._queue = queue
-        self._roster = roster
+        self._target_pool = target_pool
         self._attempts = attempts
-        self._returns = ReturnTimes(generator)
+        self._retry_times = RetryTimes(generator)
 
-    def judge(
+    def find_refusal(
         self,
         pending: PendingRequest,
         requests: Mapping[RequestId, PendingRequest],
         now_ms: float,
     ) -> Refuse | None:
-        """Return the refusal that a queued newcomer causes, or None.
+        """Return the refusal caused by a newly queued request, or None.
 
-        Load: demand above capacity. Harm prevented: callers that wait for an
-        answer which comes too late, and slots spent on it.
+        Above capacity, callers would otherwise wait for an answer that comes too
+        late and slots would be spent on it.
         """
         if len(self._queue) > self._max_queued:
             return self._make_room(requests, now_ms)
@@ -53,47 +52,47 @@
         spare_ms = pending.latest_start_ms - now_ms - wait_ms
         if spare_ms >= 0.0:
             return None
-        # The queue advances by whole places; in between, the same wait is found.
+        # The queue advances by whole places, so round the excess up to one.
         place_ms = max(self.wait_ms(1, now_ms), 1e-3)
         excess_ms = ceil(-spare_ms / place_ms) * place_ms
-        retry_at_ms = self.return_ms(arrival, excess_ms, now_ms)
+        retry_at_ms = self.retry_time_ms(arrival, excess_ms, now_ms)
         return Refuse(arrival.request, RefusalReason.WAIT_TOO_LONG, retry_at_ms)
 
     def latest_start_ms(self, arrival: Arrival, now_ms: float) -> float:
-        """Return until when an attempt can still be hoped to be answered in time.
+        """Return the latest time at which an attempt can still finish in time.
 
-        Load: demand above capacity, where the queue stands at the deadline. Harm
-        prevented: requests begun so late that they are cut while they run, which
-        spends slots for nothing and leaves their outcome unknown. At most half of
-        the time is kept back: short work beside long work has short deadlines.
+        Above capacity, queued requests wait until close to their deadline. Started
+        later than this, they would be cut off while running, which wastes slots and
+        leaves their outcome unknown. At most half of the time is reserved, since
+        short work mixed with long work has short deadlines.
         """
         half_ms = (arrival.deadline_ms - now_ms) / 2.0
-        return arrival.deadline_ms - min(self._attempts.usual_ms(), half_ms)
+        return arrival.deadline_ms - min(self._attempts.typical_ms(), half_ms)
 
     def wait_ms(self, places: int, now_ms: float) -> float:
-        """Return how long the queue takes to advance by some places."""
-        drain_per_ms = self._roster.drain_per_ms(now_ms)
+        """Return how long the queue takes to advance by ``places``, 0 if unknown."""
+        drain_per_ms = self._target_pool.drain_per_ms(now_ms)
         if drain_per_ms is None:
             return 0.0
         return places / drain_per_ms if drain_per_ms > 0 else NO_TARGET_RETRY_MS
 
-    def return_ms(self, arrival: Arrival, wait_ms: float, now_ms: float) -> float:
-        """Return when the customer may come back, ``wait_ms`` from now or later."""
+    def retry_time_ms(self, arrival: Arrival, wait_ms: float, now_ms: float) -> float:
+        """Return when the customer may retry, ``wait_ms`` from now or later."""
         share = self._queue.share_of(arrival.customer)
         spacing_ms = self.wait_ms(1, now_ms) / max(share, 1e-6)
-        return self._returns.next_for(arrival.customer, now_ms, wait_ms, spacing_ms)
+        return self._retry_times.next_for(arrival.customer, now_ms, wait_ms, spacing_ms)
 
     def _make_room(
         self, requests: Mapping[RequestId, PendingRequest], now_ms: float
     ) -> Refuse | None:
         """Refuse the last request of the customer with most queued for its weight.
 
-        Load: one customer's burst that fills the queue. Harm prevented: a newcomer
-        within its share refused for it.
+        A burst of one customer that fills the queue must not cause the refusal of
+        another customer's request.
         """
         victim = self._queue.most_over_share()
         if victim is None:
             return None
         wait_ms = self.wait_ms(self._queue.ahead_of(victim) + 1, now_ms)
-        retry_at_ms = self.return_ms(requests[victim].arrival, wait_ms, now_ms)
+        retry_at_ms = self.retry_time_ms(requests[victim].arrival, wait_ms, now_ms)
         return Refuse(victim, RefusalReason.QUEUE_FULL, retry_at_ms)
--- a/src/crocusspindle/core/attempts.py
+++ b/src/crocusspindle/core/attempts.py
@@ -1,4 +1,4 @@
-"""Follow the attempts that run and learn from how they end."""
+"""Track running attempts and learn latencies from their ends."""
 
 from itertools import count
 from typing import Final
@@ -13,31 +13,33 @@
 from crocusspindle.ids import AttemptId
 
 _LOST_REPORT_MS: Final = 1_000.0
-"""A cancelled attempt whose end is not reported within a second frees its slot;
-otherwise a driver's lost report would take the slot for good."""
+"""A cancelled attempt whose end is not reported within this time frees its slot, so
+that a report lost by the driver does not occupy the slot for good."""
 
-_USUAL_QUANTILE: Final = 0.95
-"""Time kept back for the answer of a queued request. A wrong refusal costs the
-caller a return; a cut request has no known outcome and its work is lost. With the
-median, 11 % of all requests ended so at 70 % capacity, with this 1.2 %, and as many
-were answered in time."""
+_TYPICAL_QUANTILE: Final = 0.95
+"""Quantile of the time to first byte that is reserved for the answer of a queued
+request. An unnecessary refusal costs the caller a retry, but a request that is cut off
+has no known outcome and its work is lost. At 70 % capacity 11 % of all requests are
+cut off with the median and 1.2 % with this, and as many are answered in time."""
 
-_SHORTEST_HEDGE_MS: Final = 1.0
-"""Below a millisecond the answer is on its way already."""
+_MIN_HEDGE_MS: Final = 1.0
+"""Within a millisecond the answer is already on its way."""
 
 
 class Attempts:
     """Open, cancel and close attempts."""
 
-    def __init__(self, settings: HomeSettings, roster: Roster, timers: Timers) -> None:
+    def __init__(
+        self, settings: HomeSettings, target_pool: Roster, timers: Timers
+    ) -> None:
         self._settings = settings
-        self._roster = roster
+        self._target_pool = target_pool
         self._timers = timers
         self._running: dict[AttemptId, Attempt] = {}
         self._numbers = count(1)
         self._first_bytes = LatencyWindow()
-        self.ending = 0
-        """How many cancelled attempts still hold their slot."""
+        self.cancelling = 0
+        """Number of cancelled attempts that still hold their slot."""
 
     def __len__(self) -> int:
         return len(self._running)
@@ -52,7 +54,7 @@
     def open(
         self, pending: PendingRequest, slots: TargetSlots, now_ms: float
     ) -> Dispatch:
-        """Send a request to a target."""
+        """Start an attempt of a request on a target."""
         request = pending.arrival.request
         attempt = Attempt(AttemptId(next(self._numbers)), request, slots, now_ms)
         self._running[attempt.attempt] = attempt
@@ -69,7 +71,7 @@
         )
 
     def start(self, attempt: Attempt, now_ms: float) -> None:
-        """Note the first byte of an answer."""
+        """Record the first byte of an answer."""
         attempt.started_ms = now_ms
         self._first_bytes.add(now_ms - attempt.dispatched_ms)
 
@@ -78,38 +80,38 @@
         attempt_id: AttemptId,
         end: AttemptEnd,
         latency_ms: float,
-        wanted: bool,
+        has_queued: bool,
         now_ms: float,
     ) -> Attempt | None:
         """Free the slot of an attempt and learn from its end.
 
-        ``wanted`` says that requests wait for slots.
+        ``has_queued`` says that requests wait for slots.
         """
         attempt = self._running.pop(attempt_id, None)
         if attempt is None:
             return None
         if attempt.cancelled:
-            self.ending -= 1
+            self.cancelling -= 1
         slots = attempt.slots
         if end is AttemptEnd.SHED:
-            self._roster.shed(slots, now_ms)
+            self._target_pool.shed(slots, now_ms)
         elif end is AttemptEnd.ANSWERED and not attempt.cancelled:
-            self._roster.succeed(slots, latency_ms, wanted)
+            self._target_pool.succeed(slots, latency_ms, has_queued)
             if attempt.started_ms is None:
                 self._first_bytes.add(latency_ms)
         else:
-            self._roster.release(slots)
+            self._target_pool.release(slots)
         if end not in {AttemptEnd.SHED, AttemptEnd.UNSENT}:
-            self._roster.held(now_ms - attempt.dispatched_ms)
+            self._target_pool.record_hold(now_ms - attempt.dispatched_ms)
         return attempt
 
     def cancel(self, attempts: list[Attempt], now_ms: float) -> list[Decision]:
-        """Abort attempts; each keeps its slot until its end is reported."""
+        """Cancel attempts; each holds its slot until its end is reported."""
         decisions: list[Decision] = []
         for attempt in attempts:
             if not attempt.cancelled:
                 attempt.cancelled = True
-                self.ending += 1
+                self.cancelling += 1
                 self._timers.add(
                     now_ms + _LOST_REPORT_MS, TimerKind.LOST_REPORT, attempt.attempt
                 )
@@ -117,18 +119,18 @@
         return decisions
 
     def hedge_after_ms(self) -> float | None:
-        """Return when an attempt is late, None before that is learnt."""
+        """Return the age at which an attempt is hedged, None while it is unknown."""
         late_ms = self._first_bytes.quantile_ms(self._settings.hedge_quantile)
-        return None if late_ms is None else max(late_ms, _SHORTEST_HEDGE_MS)
+        return None if late_ms is None else max(late_ms, _MIN_HEDGE_MS)
 
-    def usual_ms(self) -> float:
-        """Return the time in which an answer can be expected, 0 if unknown."""
-        return self._first_bytes.quantile_ms(_USUAL_QUANTILE) or 0.0
+    def typical_ms(self) -> float:
+        """Return the time within which an answer typically begins, 0 if unknown."""
+        return self._first_bytes.quantile_ms(_TYPICAL_QUANTILE) or 0.0
 
     def arm_hedge(
         self, pending: PendingRequest, attempt: Attempt, now_ms: float
     ) -> None:
-        """Set the timer at which the attempt is late."""
+        """Set the timer that hedges the attempt once it is late."""
         arrival = pending.arrival
         after_ms = self.hedge_after_ms()
         if not arrival.idempotent or not arrival.may_hedge or pending.hedged:
@@ -137,16 +139,16 @@
             self._timers.add(now_ms + after_ms, TimerKind.HEDGE, attempt.attempt)
 
     def _deadline_ms(self, pending: PendingRequest, now_ms: float) -> float:
-        """Return when an attempt counts as silent.
+        """Return when an attempt times out.
 
-        An idempotent request leaves half of its time for another target, unless
-        three times the 95th percentile needs more: a mute target would otherwise
-        use up the caller's whole deadline.
+        An attempt of an idempotent request gets half of the remaining time, or three
+        times the hedging delay if that is longer. A silent target would otherwise use
+        up the caller's whole deadline.
         """
         deadline_ms = pending.arrival.deadline_ms
-        usual_ms = self.hedge_after_ms()
+        typical_ms = self.hedge_after_ms()
         attempts_left = self._settings.max_attempts - pending.attempts
-        if not pending.arrival.idempotent or usual_ms is None or attempts_left <= 0:
+        if not pending.arrival.idempotent or typical_ms is None or attempts_left <= 0:
             return deadline_ms
         half_ms = (deadline_ms - now_ms) / 2.0
-        return min(deadline_ms, now_ms + max(half_ms, 3.0 * usual_ms))
+        return min(deadline_ms, now_ms + max(half_ms, 3.0 * typical_ms))
--- a/src/crocusspindle/core/fair_queue.py
+++ b/src/crocusspindle/core/fair_queue.py
@@ -1,9 +1,9 @@
 """Queue requests fairly among customers.
 
-Start-time fair queueing (Goyal, Vin and Cheng, 1996) in place of deficit round
-robin: both share by weight, but a round robin with rates from 0.2 to 500 a second
-either sends 2,500 requests of the largest customer in a row or passes the smallest
-2,500 times. Tags interleave them evenly, and a customer that was idle goes first.
+Uses start-time fair queueing (Goyal, Vin and Cheng, 1996) rather than deficit round
+robin. Both share by weight, but with rates from 0.2 to 500 a second a round robin
+either sends 2,500 requests of the largest customer in a row or skips the smallest
+2,500 times. Start tags interleave customers evenly, and one that was idle goes first.
 """
 
 from bisect import bisect_left, insort
@@ -14,21 +14,22 @@
 
 from crocusspindle.ids import CustomerId, RequestId
 
-_SMALLEST_WEIGHT: Final = 1e-6
-"""A weight of 0 would wait for ever behind every other customer."""
+_MIN_WEIGHT: Final = 1e-6
+"""A customer of weight 0 would wait forever behind all others."""
 
 _IDLE_CREDIT: Final = 4.0
-"""Requests that an idle customer may be ahead of its share. At 1 request a second
-two may come close together, and the second would wait a second behind the backlog of
-others. Eight gain no more; eight customers with four cost the others 0.1 s once."""
+"""Requests by which a customer that was idle may exceed its share. At one request a
+second, two may arrive close together, and the second would wait a second behind the
+backlog of others. A credit of eight gains nothing more; with four, eight such customers
+delay the others by 0.1 s once."""
 
-_SMALLEST_TO_MEAN: Final = 0.1
-"""Least weight, as a part of the mean of the customers that wait. In a shortage it
-gives the smallest ones all that they ask for; their rates, held elsewhere, keep them
-from asking for more, and all of them together gain a tenth of the service at most."""
+_MIN_WEIGHT_TO_MEAN: Final = 0.1
+"""Minimum weight, as a fraction of the mean weight of the customers with queued
+requests. In a shortage it serves the smallest customers in full. Rate limits, enforced
+elsewhere, bound their demand, and together they gain at most a tenth of the service."""
 
-_IDLE_FLOWS_KEPT: Final = 256
-"""Idle flows are swept beyond this many, so that memory follows the queue."""
+_MAX_IDLE_FLOWS: Final = 256
+"""More idle flows are swept, so that memory is proportional to the queue."""
 
 
 @dataclass(slots=True)
@@ -42,25 +43,25 @@
 class FairQueue:
     """Order queued requests by customer weight, then by deadline.
 
-    Load: one customer at several times its rate, or all customers above capacity.
-    Harm prevented: a small customer starved behind the backlog of a large one.
+    Keeps the backlog of a large customer from starving small ones, both when one
+    customer exceeds its rate several times and when all exceed the capacity.
     """
 
     def __init__(self) -> None:
         self._flows: dict[CustomerId, _Flow] = {}
         self._heads: list[tuple[float, int, CustomerId]] = []
-        self._where: dict[RequestId, tuple[CustomerId, tuple[float, int, RequestId]]]
-        self._where = {}
+        self._entries: dict[RequestId, tuple[CustomerId, tuple[float, int, RequestId]]]
+        self._entries = {}
         self._virtual_time = 0.0
         self._sequence = 0
-        self._waiting_weight = 0.0
-        self._waiting_customers = 0
+        self._queued_weight = 0.0
+        self._queued_customers = 0
 
     def __len__(self) -> int:
-        return len(self._where)
+        return len(self._entries)
 
     def __contains__(self, request: RequestId) -> bool:
-        return request in self._where
+        return request in self._entries
 
     def push(
         self,
@@ -69,63 +70,63 @@
         weight: float,
         deadline_ms: float,
     ) -> None:
-        """Queue a request behind those of its customer that are due earlier."""
+        """Queue a request behind those of its customer with an earlier deadline."""
         flow = self._flow(customer, weight)
         self._sequence += 1
         item = (deadline_ms, self._sequence, request)
         if not flow.items:
-            self._waiting_customers += 1
-            self._waiting_weight += flow.configured_weight
+            self._queued_customers += 1
+            self._queued_weight += flow.configured_weight
             earliest = self._virtual_time - _IDLE_CREDIT / flow.weight
             flow.start_tag = max(flow.start_tag, earliest)
             heappush(self._heads, (flow.start_tag, self._sequence, customer))
         insort(flow.items, item)
-        self._where[request] = (customer, item)
+        self._entries[request] = (customer, item)
 
     def pop(self) -> RequestId:
-        """Take the next request; raise IndexError if there is none."""
+        """Remove and return the next request; raise IndexError if there is none."""
         if self.peek() is None:
             raise IndexError("pop from an empty queue")
         tag, _, customer = heappop(self._heads)
         flow = self._flows[customer]
         _, _, request = flow.items.pop(0)
-        del self._where[request]
+        del self._entries[request]
         self._virtual_time = max(self._virtual_time, tag)
         flow.start_tag = tag + 1.0 / flow.weight
         if flow.items:
             self._sequence += 1
             heappush(self._heads, (flow.start_tag, self._sequence, customer))
-        self._note_if_idle(flow)
+        self._update_if_idle(flow)
         return request
 
     def remove(self, request: RequestId) -> bool:
-        """Take a request out; return True if it was queued."""
-        found = self._where.pop(request, None)
+        """Remove a request; return True if it was queued."""
+        found = self._entries.pop(request, None)
         if found is None:
             return False
         customer, item = found
         flow = self._flows[customer]
         flow.items.remove(item)
-        self._note_if_idle(flow)
+        self._update_if_idle(flow)
         return True
 
     def peek(self) -> RequestId | None:
-        """Return the next request without taking it, or None."""
+        """Return the next request without removing it, or None."""
         while self._heads:
             tag, _, customer = self._heads[0]
             flow = self._flows.get(customer)
             if flow is not None and flow.items and flow.start_tag == tag:
                 return flow.items[0][2]
-            heappop(self._heads)  # the customer's requests were removed meanwhile
+            heappop(self._heads)  # stale: the customer's requests have been removed
         return None
 
     def ahead_of(self, request: RequestId) -> int:
         """Return how many queued requests will be served before this one.
 
-        Counts what each other customer gets by its weight until then. Newcomers
-        can still go before it, so it is the least wait, not the longest.
+        Counts what each other customer gets by its weight until then. This is a lower
+        bound, since requests that arrive later may still be served first.
         """
-        customer, item = self._where[request]
+        customer, item = self._entries[request]
         own = self._flows[customer]
         position = bisect_left(own.items, item)
         tag = own.start_tag + position / own.weight
@@ -136,7 +137,7 @@
         )
 
     def share_of(self, customer: CustomerId) -> float:
-        """Return the part of the service that a customer gets now."""
+        """Return the fraction of the service that a customer gets now."""
         own = self._flows.get(customer)
         if own is None:
             return 1.0
@@ -145,10 +146,10 @@
 
     def most_over_share(self) -> RequestId | None:
         """Return the last request of the customer with most queued for its weight."""
-        waiting = [flow for flow in self._flows.values() if flow.items]
-        if not waiting:
+        queued = [flow for flow in self._flows.values() if flow.items]
+        if not queued:
             return None
-        worst = max(waiting, key=lambda flow: len(flow.items) / flow.weight)
+        worst = max(queued, key=lambda flow: len(flow.items) / flow.weight)
         return worst.items[-1][2]
 
     def customers(self) -> Iterator[tuple[CustomerId, int]]:
@@ -159,28 +160,28 @@
 
     def _flow(self, customer: CustomerId, weight: float) -> _Flow:
         flow = self._flows.get(customer)
-        used = self._used_weight(weight)
+        effective = self._effective_weight(weight)
         if flow is None:
-            if len(self._flows) > _IDLE_FLOWS_KEPT + 2 * len(self._heads):
+            if len(self._flows) > _MAX_IDLE_FLOWS + 2 * len(self._heads):
                 self._sweep()
-            start_tag = self._virtual_time - _IDLE_CREDIT / used
-            flow = self._flows[customer] = _Flow(weight, used, start_tag)
+            start_tag = self._virtual_time - _IDLE_CREDIT / effective
+            flow = self._flows[customer] = _Flow(weight, effective, start_tag)
         elif flow.items:
-            self._waiting_weight += weight - flow.configured_weight
+            self._queued_weight += weight - flow.configured_weight
         flow.configured_weight = weight
-        flow.weight = used
+        flow.weight = effective
         return flow
 
-    def _used_weight(self, weight: float) -> float:
-        mean = self._waiting_weight / max(1, self._waiting_customers)
-        return max(weight, _SMALLEST_TO_MEAN * mean, _SMALLEST_WEIGHT)
+    def _effective_weight(self, weight: float) -> float:
+        mean = self._queued_weight / max(1, self._queued_customers)
+        return max(weight, _MIN_WEIGHT_TO_MEAN * mean, _MIN_WEIGHT)
 
-    def _note_if_idle(self, flow: _Flow) -> None:
-        if not self._where:
-            self._forget()
+    def _update_if_idle(self, flow: _Flow) -> None:
+        if not self._entries:
+            self._reset()
         elif not flow.items:
-            self._waiting_customers -= 1
-            self._waiting_weight -= flow.configured_weight
+            self._queued_customers -= 1
+            self._queued_weight -= flow.configured_weight
 
     def _sweep(self) -> None:
         self._flows = {
@@ -190,10 +191,10 @@
             or flow.start_tag > self._virtual_time - _IDLE_CREDIT / flow.weight
         }
 
-    def _forget(self) -> None:
-        # An empty queue harms nobody, so what was used before it is forgiven.
+    def _reset(self) -> None:
+        # No customer waits while the queue is empty, so past use is not charged.
         self._flows.clear()
         self._heads.clear()
         self._virtual_time = 0.0
-        self._waiting_weight = 0.0
-        self._waiting_customers = 0
+        self._queued_weight = 0.0
+        self._queued_customers = 0
--- a/src/crocusspindle/core/hedging.py
+++ b/src/crocusspindle/core/hedging.py
@@ -1,4 +1,4 @@
-"""Send late idempotent requests to a second target."""
+"""Hedge late idempotent requests with an attempt on a second target."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -11,23 +11,23 @@
 from crocusspindle.core.roster import Roster
 from crocusspindle.ids import AttemptId, RequestId
 
-_HEDGES_KEPT: Final = 64
-"""Hedges remembered before ended ones are swept out."""
+_SWEEP_SIZE: Final = 64
+"""Number of tracked hedges at which ended ones are swept."""
 
-_DEAD_AFTER: Final = 2.0
-"""A first attempt twice as old as a late one is probably on a mute target: of
-exponential times, 0.25 % are as long."""
+_SILENT_AGE_FACTOR: Final = 2.0
+"""A first attempt older than this many hedging delays is probably on a silent target:
+with exponential latencies only 0.25 % take as long."""
 
 
 class Hedging:
-    """Open hedges within their budget and take them back for first attempts."""
+    """Open hedges as tokens allow and preempt them for first attempts."""
 
     def __init__(
-        self, settings: HomeSettings, roster: Roster, attempts: Attempts
+        self, settings: HomeSettings, target_pool: Roster, attempts: Attempts
     ) -> None:
-        self.budget = Budget(settings.hedge_fraction, settings.hedge_floor_per_s)
+        self.tokens = Budget(settings.hedge_fraction, settings.hedge_floor_per_s)
         self._max_attempts = settings.max_attempts
-        self._roster = roster
+        self._target_pool = target_pool
         self._attempts = attempts
         self._hedges: list[AttemptId] = []
 
@@ -39,9 +39,8 @@
     ) -> list[Decision]:
         """Send the request of a late attempt to a second target, once.
 
-        Load: one slow or mute target among good ones. Harm prevented: callers
-        waiting for its timeout. Only a free slot is used; without one it is tried
-        again later.
+        Callers need not wait for the timeout of one slow or silent target among
+        healthy ones. Only a free slot is used; without one the timer is set again.
         """
         attempt = self._attempts.get(attempt_id)
         if attempt is None or attempt.cancelled:
@@ -51,52 +50,52 @@
             return []
         if pending.attempts >= self._max_attempts:
             return []
-        candidates = self._roster.with_room(now_ms)
-        slots = self._roster.place(pending, candidates, 1, now_ms)
-        if slots is None or not self.budget.take(now_ms):
+        candidates = self._target_pool.with_room(now_ms)
+        slots = self._target_pool.place(pending, candidates, 1, now_ms)
+        if slots is None or not self.tokens.try_spend(now_ms):
             self._attempts.arm_hedge(pending, attempt, now_ms)
             return []
         pending.hedged = True
         dispatch = self._attempts.open(pending, slots, now_ms)
-        self._remember(dispatch.attempt)
+        self._track(dispatch.attempt)
         return [dispatch]
 
-    def give_way(
+    def preempt(
         self,
-        wanted: int,
+        needed_slots: int,
         requests: Mapping[RequestId, PendingRequest],
         now_ms: float,
     ) -> list[Decision]:
         """Cancel hedges whose slots queued requests need.
 
-        Load: a group near its capacity. Harm prevented: first attempts that wait
-        while second ones, which may be of no use, run. The hedged request keeps
-        its first attempt, gets its token back and may be hedged again.
+        Near capacity, first attempts must not wait for hedges, which may turn out to
+        be unnecessary. The hedged request keeps its first attempt, its token is
+        refunded and it may be hedged again.
         """
         decisions: list[Decision] = []
-        wanted -= self._attempts.ending
-        while wanted > 0 and (hedge := self._pop_waiting()) is not None:
+        needed_slots -= self._attempts.cancelling
+        while needed_slots > 0 and (hedge := self._pop_unanswered()) is not None:
             pending = requests[hedge.request]
-            if not self._may_yield(pending, now_ms):
+            if not self._may_preempt(pending, now_ms):
                 continue
-            wanted -= 1
+            needed_slots -= 1
             pending.running.remove(hedge)
             pending.tried.discard(hedge.slots.target.target)
             pending.attempts -= 1
             pending.hedged = False
             pending.may_have_run = True
-            self.budget.give_back()
+            self.tokens.refund()
             decisions += self._attempts.cancel([hedge], now_ms)
             self._attempts.arm_hedge(pending, pending.running[0], now_ms)
         return decisions
 
-    def _remember(self, attempt: AttemptId) -> None:
-        if len(self._hedges) >= _HEDGES_KEPT:
+    def _track(self, attempt: AttemptId) -> None:
+        if len(self._hedges) >= _SWEEP_SIZE:
             self._hedges = [each for each in self._hedges if each in self._attempts]
         self._hedges.append(attempt)
 
-    def _pop_waiting(self) -> Attempt | None:
-        """Return the latest hedge that has no answer yet, or None."""
+    def _pop_unanswered(self) -> Attempt | None:
+        """Remove and return the latest hedge without a first byte, or None."""
         while self._hedges:
             attempt = self._attempts.get(self._hedges.pop())
             if attempt is None or attempt.cancelled or attempt.started_ms is not None:
@@ -104,10 +103,10 @@
             return attempt
         return None
 
-    def _may_yield(self, pending: PendingRequest, now_ms: float) -> bool:
-        """Return True unless the hedge is the request's only real attempt."""
+    def _may_preempt(self, pending: PendingRequest, now_ms: float) -> bool:
+        """Return True unless the hedge is the only attempt likely to be answered."""
         if len(pending.running) == 1:
             return False
         late_ms = self._attempts.hedge_after_ms() or 0.0
         age_ms = now_ms - pending.running[0].dispatched_ms
-        return age_ms < _DEAD_AFTER * late_ms
+        return age_ms < _SILENT_AGE_FACTOR * late_ms
--- a/src/crocusspindle/core/home.py
+++ b/src/crocusspindle/core/home.py
@@ -1,7 +1,8 @@
-"""Decide for one group of targets: queue, place, refuse, retry and hedge.
+"""Coordinate the requests to one group of targets: queue, place, refuse, retry, hedge.
 
-A driver feeds events in and carries the decisions out. There is no input, output,
-clock or randomness here, so processes and tests in virtual time run the same code.
+A driver feeds events in and carries the decisions out. The code does no input or
+output and has no clock or source of randomness of its own, so that processes and
+tests in virtual time run the same code.
 """
 
 import random
@@ -57,45 +58,49 @@
 
 
 class Home:
-    """Decide for one group of targets."""
+    """Queue the requests of one group of targets and decide when and where they run."""
 
     def __init__(
-        self, settings: HomeSettings, health: Fitness, generator: random.Random
+        self, settings: HomeSettings, weights: Fitness, generator: random.Random
     ) -> None:
         self._settings = settings
-        self._roster = Roster(health, settings.domain)
+        self._target_pool = Roster(weights, settings.domain)
         self._requests: dict[RequestId, PendingRequest] = {}
         self._queue = FairQueue()
         self._retries: deque[RequestId] = deque()
         self._timers = Timers(self._is_live)
-        self._retry_budget = Budget(settings.retry_fraction, settings.retry_floor_per_s)
-        self._attempts = Attempts(settings, self._roster, self._timers)
-        self._hedging = Hedging(settings, self._roster, self._attempts)
+        self._retry_tokens = Budget(settings.retry_fraction, settings.retry_floor_per_s)
+        self._attempts = Attempts(settings, self._target_pool, self._timers)
+        self._hedging = Hedging(settings, self._target_pool, self._attempts)
         self._admission = Admission(
-            settings.max_queued, self._queue, self._roster, self._attempts, generator
+            settings.max_queued,
+            self._queue,
+            self._target_pool,
+            self._attempts,
+            generator,
         )
         self._now_ms = 0.0
 
     @classmethod
     def from_config(
-        cls, settings: HomeSettings, health: Fitness, generator: random.Random
+        cls, settings: HomeSettings, weights: Fitness, generator: random.Random
     ) -> "Home":
-        """Return a home without targets."""
-        return cls(settings, health, generator)
+        """Return a coordinator without targets."""
+        return cls(settings, weights, generator)
 
     def set_targets(self, targets: Iterable[Target], now_ms: float) -> list[Decision]:
-        """Take the group's targets; work on leaving and lost ones goes on."""
-        self._roster.update(targets)
+        """Set the group's targets; attempts on leaving and unlisted ones continue."""
+        self._target_pool.update(targets)
         return self._advance(now_ms)
 
     def arrive(self, arrival: Arrival, now_ms: float) -> list[Decision]:
-        """Queue, dispatch or refuse a new request; a doubled one is ignored."""
+        """Queue, dispatch or refuse a new request; a duplicate is ignored."""
         if arrival.request in self._requests:
             return []
         if arrival.deadline_ms <= now_ms:
             reason = RefusalReason.DEADLINE_UNREACHABLE
             return [Refuse(arrival.request, reason, now_ms)]
-        if not self._roster.takes_new:
+        if not self._target_pool.accepts_new:
             retry_at_ms = now_ms + NO_TARGET_RETRY_MS
             return [Refuse(arrival.request, RefusalReason.NO_TARGET, retry_at_ms)]
         pending = PendingRequest(
@@ -107,9 +112,9 @@
         )
         decisions = self._advance(now_ms)
         if arrival.request in self._queue:
-            refusal = self._admission.judge(pending, self._requests, now_ms)
+            refusal = self._admission.find_refusal(pending, self._requests, now_ms)
             if refusal is not None:
-                self._forget(refusal.request)
+                self._drop(refusal.request)
                 decisions.append(refusal)
         if arrival.request in self._requests:
             due_ms = arrival.deadline_ms
@@ -119,7 +124,7 @@
         return decisions
 
     def started(self, attempt: AttemptId, now_ms: float) -> list[Decision]:
-        """Note the first byte of an answer; rivals of this attempt are cancelled."""
+        """Record the first byte of an answer and cancel the other attempts."""
         found = self._attempts.get(attempt)
         if found is None or found.cancelled or found.started_ms is not None:
             return []
@@ -132,27 +137,27 @@
     def ended(
         self, attempt: AttemptId, end: AttemptEnd, latency_ms: float, now_ms: float
     ) -> list[Decision]:
-        """Take the end of an attempt; the second report of one is ignored."""
+        """Handle the end of an attempt; a second report of it is ignored."""
         if end is AttemptEnd.SHED and not self._settings.shed_is_not_run:
             end = AttemptEnd.FAILED
-        wanted = bool(self._queue)
-        found = self._attempts.close(attempt, end, latency_ms, wanted, now_ms)
+        has_queued = bool(self._queue)
+        found = self._attempts.close(attempt, end, latency_ms, has_queued, now_ms)
         if found is None:
             return []
         decisions: list[Decision] = []
         pending = self._requests.get(found.request)
-        if pending is not None and _counts(pending, found):
+        if pending is not None and _applies_to_request(pending, found):
             pending.running.remove(found)
-            decisions = self._conclude(pending, found, end, now_ms)
+            decisions = self._apply_end(pending, found, end, now_ms)
         return decisions + self._advance(now_ms)
 
     def withdraw(self, request: RequestId, now_ms: float) -> list[Decision]:
-        """Give up a request whose caller is gone or moved to another home.
+        """Give up a request whose caller left or moved to another coordinator.
 
-        A request that does not run ends here. What runs is cancelled and ends with
-        the report of its attempt, which may still tell that nothing was sent; but
-        non-idempotent work goes on, since a payment cancelled half-way has no
-        outcome and one that runs to its end has.
+        A request without a running attempt ends at once. A running attempt is
+        cancelled and its report ends the request, since it may still show that
+        nothing was sent. Non-idempotent work continues: a payment cancelled half-way
+        has no known outcome, one that runs to its end has.
         """
         pending = self._requests.get(request)
         if pending is None:
@@ -166,8 +171,8 @@
         return decisions + self._advance(now_ms)
 
     def withdraw_customer(self, customer: CustomerId, now_ms: float) -> list[Decision]:
-        """Give up what a customer has queued; what runs ends without a retry."""
-        return self._stop(
+        """Give up a customer's queued requests; running ones get no retry."""
+        return self._withdraw_all(
             [
                 pending
                 for pending in self._requests.values()
@@ -177,12 +182,12 @@
         )
 
     def revoke(self, credential: bytes, now_ms: float) -> list[Decision]:
-        """Give up what is queued under a withdrawn key.
+        """Give up the requests queued under a withdrawn key.
 
-        Requests wait up to their deadline; without this a key would work for as
-        long after its withdrawal. What runs ends without a retry or hedge.
+        Requests wait up to their deadline, and a withdrawn key would keep working
+        for as long. Running requests get no retry or hedge.
         """
-        return self._stop(
+        return self._withdraw_all(
             [
                 pending
                 for pending in self._requests.values()
@@ -192,11 +197,11 @@
         )
 
     def tick(self, now_ms: float) -> list[Decision]:
-        """Act on what fell due and on changed fitness."""
+        """Handle due timers and changed target weights."""
         return self._advance(now_ms)
 
     def next_tick_ms(self) -> float | None:
-        """Return when to tick next if nothing else happens, or None."""
+        """Return when to call ``tick`` if no other event comes first, or None."""
         due = self._timers.next_ms()
         if not self._queue and not self._retries:
             return due
@@ -204,9 +209,9 @@
         return poll if due is None else min(due, poll)
 
     def load(self) -> HomeLoad:
-        """Return the load that entries choose between groups by, as last seen."""
+        """Return the load by which entries choose a group, as of the last event."""
         now_ms = self._now_ms
-        capacity = self._roster.capacity(now_ms)
+        capacity = self._target_pool.capacity(now_ms)
         running = len(self._attempts)
         queued = len(self._queue) + len(self._retries)
         ahead = max(0, queued + running + 1 - capacity)
@@ -214,24 +219,24 @@
         return HomeLoad(queued, running, capacity, wait_ms)
 
     def snapshot(self) -> HomeStatus:
-        """Return what operators see, as of the last event."""
+        """Return the status shown to operators, as of the last event."""
         return HomeStatus(
             load=self.load(),
-            targets=self._roster.status(self._now_ms),
+            targets=self._target_pool.status(self._now_ms),
             queued_by_customer=tuple(self._queue.customers()),
-            retry_tokens=self._retry_budget.tokens,
-            hedge_tokens=self._hedging.budget.tokens,
+            retry_tokens=self._retry_tokens.available,
+            hedge_tokens=self._hedging.tokens.available,
             hedge_after_ms=self._attempts.hedge_after_ms(),
         )
 
     def _advance(self, now_ms: float) -> list[Decision]:
-        """Act on due timers, then fill free slots."""
+        """Handle due timers, then dispatch to free slots."""
         self._now_ms = now_ms
         decisions: list[Decision] = []
         while (due := self._timers.pop_due(now_ms)) is not None:
             kind, subject = due
             if kind is TimerKind.DEADLINE:
-                decisions += self._meet_deadline(RequestId(subject), now_ms)
+                decisions += self._expire(RequestId(subject), now_ms)
             elif kind is TimerKind.HEDGE:
                 decisions += self._hedging.hedge(
                     AttemptId(subject), self._requests, now_ms
@@ -240,61 +245,61 @@
                 decisions += self.ended(
                     AttemptId(subject), AttemptEnd.SILENT, 0.0, now_ms
                 )
-        return decisions + self._fill(now_ms)
+        return decisions + self._dispatch_queued(now_ms)
 
-    def _fill(self, now_ms: float) -> list[Decision]:
+    def _dispatch_queued(self, now_ms: float) -> list[Decision]:
         """Dispatch queued requests while there are free slots, retries first.
 
-        A retry waited once already and the budget keeps retries few, so they
+        A retry has already waited once. The token bucket bounds retries, so they
         cannot starve the queue.
         """
         if not self._queue and not self._retries:
             return []
         decisions: list[Decision] = []
-        candidates = self._roster.with_room(now_ms)
+        candidates = self._target_pool.with_room(now_ms)
         for _ in range(len(self._retries)):
             request = self._retries.popleft()
-            waiting = len(self._queue) + len(self._retries) + 1
+            queued_count = len(self._queue) + len(self._retries) + 1
             pending = self._requests[request]
-            slots = self._roster.place(pending, candidates, waiting, now_ms)
+            slots = self._target_pool.place(pending, candidates, queued_count, now_ms)
             if slots is None:
                 self._retries.append(request)
             else:
                 decisions.append(self._attempts.open(pending, slots, now_ms))
-                candidates = self._roster.with_room(now_ms)
+                candidates = self._target_pool.with_room(now_ms)
         while (head := self._queue.peek()) is not None:
-            waiting = len(self._queue) + len(self._retries)
+            queued_count = len(self._queue) + len(self._retries)
             pending = self._requests[head]
-            slots = self._roster.place(pending, candidates, waiting, now_ms)
+            slots = self._target_pool.place(pending, candidates, queued_count, now_ms)
             if slots is None:
                 break
             self._queue.pop()
             decisions.append(self._attempts.open(pending, slots, now_ms))
             if not slots.has_room(now_ms):
                 candidates = [each for each in candidates if each[0] is not slots]
-            self._retry_budget.deposit()
-            self._hedging.budget.deposit()
-        return decisions + self._hedging.give_way(
+            self._retry_tokens.deposit()
+            self._hedging.tokens.deposit()
+        return decisions + self._hedging.preempt(
             len(self._queue) + len(self._retries), self._requests, now_ms
         )
 
-    def _conclude(
+    def _apply_end(
         self,
         pending: PendingRequest,
         attempt: Attempt,
         end: AttemptEnd,
         now_ms: float,
     ) -> list[Decision]:
-        """Decide what the end of an attempt means for its request."""
+        """Finish, retry or fail a request after the end of one of its attempts."""
         request = attempt.request
         if end is AttemptEnd.ANSWERED:
             decisions: list[Decision] = [Finish(request, attempt.attempt)]
             decisions += self._attempts.cancel(pending.running, now_ms)
-            self._forget(request)
+            self._drop(request)
             return decisions
         if end is AttemptEnd.SHED:
-            # The target's limit is lowered or the target paused, which bounds the
-            # sheddings; counted, a group's first seconds would give requests up.
+            # Not counted as an attempt: shedding is bounded, since it lowers the limit
+            # or pauses the target, and counted it would fail a new group's requests.
             pending.tried.discard(attempt.slots.target.target)
             pending.attempts -= 1
         elif end is not AttemptEnd.UNSENT:
@@ -311,9 +316,9 @@
     ) -> bool:
         """Return True if the request may be sent again.
 
-        A request that may have run is sent again only if it is idempotent, and
-        within the budget. One that certainly did not run costs its targets next
-        to nothing and takes no token.
+        A request that may have run is sent again only if it is idempotent and a
+        token is available. One that certainly did not run costs its targets almost
+        nothing and needs no token.
         """
         arrival = pending.arrival
         if pending.stopped or pending.attempts >= self._settings.max_attempts:
@@ -322,21 +327,21 @@
             return False
         if now_ms >= pending.latest_start_ms:
             return False
-        if not self._roster.has_untried(pending.tried, now_ms):
+        if not self._target_pool.has_untried(pending.tried, now_ms):
             return False
         certainly_not_run = end in {AttemptEnd.SHED, AttemptEnd.UNSENT}
-        return certainly_not_run or self._retry_budget.take(now_ms)
+        return certainly_not_run or self._retry_tokens.try_spend(now_ms)
 
-    def _meet_deadline(self, request: RequestId, now_ms: float) -> list[Decision]:
-        """Give up a request that can no longer be answered in time."""
+    def _expire(self, request: RequestId, now_ms: float) -> list[Decision]:
+        """Refuse or fail a request that can no longer be answered in time."""
         pending = self._requests[request]
         arrival = pending.arrival
         if pending.running and now_ms < arrival.deadline_ms:
             self._timers.add(arrival.deadline_ms, TimerKind.DEADLINE, request)
             return []
         if request in self._queue:
-            retry_at_ms = self._admission.return_ms(arrival, 0.0, now_ms)
-            self._forget(request)
+            retry_at_ms = self._admission.retry_time_ms(arrival, 0.0, now_ms)
+            self._drop(request)
             reason = RefusalReason.DEADLINE_UNREACHABLE
             return [Refuse(request, reason, retry_at_ms)]
         decisions = self._attempts.cancel(pending.running, now_ms)
@@ -350,11 +355,13 @@
     ) -> Fail:
         arrival = pending.arrival
         wait_ms = self._admission.wait_ms(1, now_ms)
-        retry_at_ms = self._admission.return_ms(arrival, wait_ms, now_ms)
-        self._forget(arrival.request)
+        retry_at_ms = self._admission.retry_time_ms(arrival, wait_ms, now_ms)
+        self._drop(arrival.request)
         return Fail(arrival.request, pending.outcome, retry_at_ms, last_attempt)
 
-    def _stop(self, stopped: list[PendingRequest], now_ms: float) -> list[Decision]:
+    def _withdraw_all(
+        self, stopped: list[PendingRequest], now_ms: float
+    ) -> list[Decision]:
         decisions: list[Decision] = []
         for pending in stopped:
             pending.stopped = True
@@ -362,13 +369,13 @@
                 continue
             if pending.arrival.request in self._queue:
                 request = pending.arrival.request
-                self._forget(request)
+                self._drop(request)
                 decisions.append(Refuse(request, RefusalReason.REVOKED, now_ms))
             else:
                 decisions.append(self._fail(pending, now_ms))
         return decisions + self._advance(now_ms)
 
-    def _forget(self, request: RequestId) -> None:
+    def _drop(self, request: RequestId) -> None:
         del self._requests[request]
         if not self._queue.remove(request) and request in self._retries:
             self._retries.remove(request)
@@ -379,9 +386,10 @@
         return AttemptId(subject) in self._attempts
 
 
-def _counts(pending: PendingRequest, attempt: Attempt) -> bool:
-    """Return True if the end of the attempt decides about its request.
+def _applies_to_request(pending: PendingRequest, attempt: Attempt) -> bool:
+    """Return True if the end of the attempt is to be applied to its request.
 
-    Of a withdrawn request the cancelled attempts do, but not a hedge that gave way.
+    A cancelled attempt is applied only if its request was withdrawn, and never if it
+    is a hedge that was preempted.
     """
     return attempt in pending.running and (pending.stopped or not attempt.cancelled)
--- a/src/crocusspindle/core/home_settings.py
+++ b/src/crocusspindle/core/home_settings.py
@@ -1,4 +1,4 @@
-"""Hold the limits of a home, each with its reason."""
+"""Define the limits of a group coordinator."""
 
 from dataclasses import dataclass
 
@@ -7,25 +7,25 @@
 
 @dataclass(frozen=True, slots=True)
 class HomeSettings:
-    """Set the limits of a home.
+    """Hold the limits of a group coordinator.
 
     ``max_queued`` bounds memory only: a queued request holds a stream of about
-    10 KB at its entry and its home, so 2,048 are 20 MB of the 128 MB. Waiting is
-    bounded by deadlines long before.
+    10 KB at its entry and its coordinator, so 2,048 use 20 MB of the 128 MB.
+    Deadlines bound the waiting time long before.
 
-    ``max_attempts`` counts every sending. Three reach two other targets, which
-    two independent gray targets in one group need; a fourth would help in under
-    1 % of 1 % of the cases.
+    ``max_attempts`` includes the first attempt, retries and hedges. Three reach two
+    further targets, as two independent gray targets in one group require; a fourth
+    would help in under 1 % of 1 % of the cases.
 
-    ``retry_fraction`` is the part of first attempts that may be sent again, so
-    that a group that fails altogether sees at most 1.1 times its load.
-    ``retry_floor_per_s`` lets a group with a request a minute retry at all.
+    ``retry_fraction`` is the number of retries allowed per first attempt, so that a
+    group that fails completely sees at most 1.1 times its load.
+    ``retry_floor_per_s`` lets a group with one request a minute retry at all.
 
     ``hedge_fraction`` is the extra load that hedging may cause; hedging after the
-    95th percentile asks for 5 %.
+    95th percentile needs 5 %.
 
-    ``shed_is_not_run`` says that the targets' contract promises that a shed
-    request was not run; without it a shed one counts as failed.
+    ``shed_is_not_run`` states that the targets' contract guarantees that a shed
+    request was not run; without it a shed request counts as failed.
     """
 
     domain: DomainId | None = None
--- a/src/crocusspindle/core/model.py
+++ b/src/crocusspindle/core/model.py
@@ -1,4 +1,4 @@
-"""Describe what change tickets and the platform's host list configure.
+"""Define the configuration given by change tickets and the platform's host list.
 
 Times named ``now_ms`` and deadlines are milliseconds of the process's own
 monotonic clock, unless a name says ``unix``.
@@ -11,14 +11,14 @@
 
 
 class TargetState(Enum):
-    """Tell whether the platform's host list wants a target to get new work."""
+    """Say whether a target may get new work according to the platform's host list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class KeyState(Enum):
-    """Tell whether a customer's key may still be used."""
+    """Say whether a customer's key may still be used."""
 
     ACTIVE = "active"
     WITHDRAWN = "withdrawn"
@@ -26,9 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Describe one target of a service, as the host list names it.
+    """Describe one target of a service as in the host list.
 
-    ``slots`` is what the list claims; the fleet learns the real number.
+    ``slots`` is the number that the list states; the fleet learns the actual one.
     """
 
     target: TargetId
@@ -42,7 +42,7 @@
 class Customer:
     """Hold the rate and burst of one customer over the whole fleet.
 
-    ``weight`` is the customer's part in fair queueing.
+    ``weight`` is the customer's weight in fair queueing.
     """
 
     customer: CustomerId
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerKey:
-    """Bind one key, known only by its digest, to a customer."""
+    """Assign a key, known only by its digest, to a customer."""
 
     digest: KeyDigest
     customer: CustomerId
@@ -62,9 +62,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Lead a path prefix to a service.
+    """Map a path prefix to a service.
 
-    Methods outside ``idempotent_methods`` run at most once.
+    Requests of methods outside ``idempotent_methods`` run at most once.
     """
 
     prefix: str
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Approval:
-    """Record that a service's owner lets a customer call it."""
+    """Record that a service's owner allows a customer to call it."""
 
     service: ServiceId
     customer: CustomerId
--- a/src/crocusspindle/core/placement.py
+++ b/src/crocusspindle/core/placement.py
@@ -7,27 +7,26 @@
 from crocusspindle.ids import DomainId, TargetId
 
 PROBATION_WEIGHT: Final = 0.075
-"""At or below this weight a target gets only the single trials that health asks
-for. It lies between health's weight on probation, 0.05, and that of a cold target,
-0.1."""
+"""At or below this weight a target gets only the trials that ``wants_trial`` asks for.
+It lies between the weight on probation, 0.05, and that of a cold target, 0.1."""
 
 
 class Fitness(Protocol):
-    """Judge how much work a target is fit for."""
+    """Provide the weight of each target and whether it needs a trial."""
 
     def weight(self, target: TargetId, now_ms: float) -> float:
-        """Return 0 if ejected, little on probation, below 1 while ramping.
+        """Return 0 if ejected, a small weight on probation, below 1 while ramping.
 
-        It orders targets and leaves their slots alone: scaled by it, doubtful
-        targets would take capacity from a service below its floor.
+        Weights order targets and do not scale their slots: scaling would reduce the
+        capacity of a service below its floor.
         """
 
     def wants_trial(self, target: TargetId, now_ms: float) -> bool:
-        """Return True if one idempotent request should try the target."""
+        """Return True if the target should get one idempotent request as a trial."""
 
 
 Candidate: TypeAlias = tuple[TargetSlots, float]
-"""A target with room, and its weight."""
+"""A target with a free slot, and its weight."""
 
 
 def choose(
@@ -35,21 +34,19 @@
     tried: Container[TargetId],
     domain: DomainId | None,
 ) -> TargetSlots | None:
-    """Return the target with most room for its size, or None.
+    """Return the target with the lowest utilisation for its weight, or None.
 
-    Load: many small targets of unlike sizes and health. Harm prevented: a queue
-    at one target while another idles. The home's own failure domain saves 1.5 ms
-    and counts only among equals; the longest idle one goes first after that, so
-    that each target gives evidence.
+    With many small targets of different size and health, no target may have a queue
+    while another idles. The coordinator's own failure domain saves only 1.5 ms, so it
+    breaks ties; next comes the longest idle target, so that each gives evidence.
     """
     best: TargetSlots | None = None
     best_rank: tuple[float, bool, float] | None = None
     for slots, weight in candidates:
         if weight <= PROBATION_WEIGHT or slots.target.target in tried:
             continue
-        # What runs, not what would run: an idle target whose limit is still being
-        # learnt must not lose to an idle one whose limit is known, or it would
-        # never get the requests to learn from.
+        # Count running requests without this one: otherwise an idle target whose limit
+        # is still being learnt would rank behind idle ones and never get work.
         rank = (
             (slots.running + 1.0 - min(weight, 1.0)) / (slots.limit * weight),
             slots.target.domain != domain,
@@ -63,11 +60,11 @@
 def choose_trial(
     candidates: Iterable[Candidate], wants_trial: Callable[[TargetId], bool]
 ) -> TargetSlots | None:
-    """Return an idle target on probation that health wants tried, or None.
+    """Return an idle target on probation that needs a trial, or None.
 
-    A trial goes before free healthy targets: at low load an ejected target would
-    otherwise never come back. One at a time, so a bad target harms one request,
-    which is idempotent and can be sent again.
+    Trials take precedence over free healthy targets, since at low load an ejected
+    target would otherwise never return to service. They run one at a time, so that a
+    bad target harms one request, which is idempotent and can be retried.
     """
     for slots, weight in candidates:
         on_probation = weight <= PROBATION_WEIGHT and not slots.running
--- a/src/crocusspindle/core/refusal.py
+++ b/src/crocusspindle/core/refusal.py
@@ -1,24 +1,24 @@
-"""Decide when a request is refused and when it may come back."""
+"""Choose when the caller of a refused request may retry."""
 
 import random
 from typing import Final
 
 from crocusspindle.ids import CustomerId
 
-_LATEST_RETURN_MS: Final = 30_000.0
-"""No caller is sent away for longer than this: capacity and demand change sooner
-than a longer forecast holds."""
+_MAX_RETRY_DELAY_MS: Final = 30_000.0
+"""Longest time until a retry. Capacity and demand change before a longer forecast would
+hold."""
 
-_RETURNS_KEPT: Final = 4_096
-"""Customers whose next return is remembered; at the bound, past ones are dropped."""
+_MAX_CUSTOMERS: Final = 4_096
+"""Number of customers whose retry time is kept; beyond it, past times are dropped."""
 
 
-class ReturnTimes:
-    """Name each refused request a time to come back, spread over the drain.
+class RetryTimes:
+    """Assign each refused request a retry time, spread at the rate of service.
 
-    Load: a customer over its share, refused many times in a moment. Harm
-    prevented: all of them told the same time, which makes the next burst. Each
-    gets the next place at the pace at which its customer is served.
+    Many requests of a customer above its share may be refused at once. The same retry
+    time for all would cause the next burst, so each gets the next place at the rate at
+    which its customer is served.
     """
 
     def __init__(self, generator: random.Random) -> None:
@@ -32,16 +32,16 @@
         wait_ms: float,
         spacing_ms: float,
     ) -> float:
-        """Return a time not before ``wait_ms`` from now, after earlier ones."""
-        earliest = now_ms + wait_ms
-        # Homes of one service refuse the same callers; without a random part they
-        # would send them back in step.
+        """Return a retry time at least ``wait_ms`` from now and after earlier ones."""
+        earliest_ms = now_ms + wait_ms
+        # The coordinators of a service refuse the same callers; without jitter these
+        # would all retry at the same moments.
         spacing_ms *= self._random.uniform(0.5, 1.5)
-        planned = max(earliest, self._next_ms.get(customer, 0.0) + spacing_ms)
-        planned = min(planned, now_ms + _LATEST_RETURN_MS)
-        if len(self._next_ms) >= _RETURNS_KEPT:
+        planned_ms = max(earliest_ms, self._next_ms.get(customer, 0.0) + spacing_ms)
+        planned_ms = min(planned_ms, now_ms + _MAX_RETRY_DELAY_MS)
+        if len(self._next_ms) >= _MAX_CUSTOMERS:
             self._next_ms = {
                 key: value for key, value in self._next_ms.items() if value > now_ms
             }
-        self._next_ms[customer] = planned
-        return max(planned, now_ms)
+        self._next_ms[customer] = planned_ms
+        return max(planned_ms, now_ms)
--- a/src/crocusspindle/core/requests.py
+++ b/src/crocusspindle/core/requests.py
@@ -1,4 +1,4 @@
-"""Record what a home knows of its requests and attempts."""
+"""Define the state that a group coordinator keeps of its requests and attempts."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """Follow one sending of a request to one target."""
+    """Hold the state of one attempt of a request on one target."""
 
     attempt: AttemptId
     request: RequestId
@@ -21,11 +21,11 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """Follow one request until its final answer.
+    """Hold the state of one request until its final answer.
 
-    ``may_have_run`` is set by every end that does not prove the contrary; it
-    makes "not run" true by construction and keeps a non-idempotent request from
-    being sent again.
+    ``may_have_run`` is set by every end of an attempt that does not prove the
+    contrary. So the outcome "not run" is always true and a non-idempotent request is
+    never run twice.
     """
 
     arrival: Arrival
@@ -39,12 +39,12 @@
 
     @property
     def started(self) -> bool:
-        """Return True if an answer is being handed to the caller."""
+        """Return True if an answer is being passed on to the caller."""
         return any(attempt.started_ms is not None for attempt in self.running)
 
     @property
     def outcome(self) -> Outcome:
-        """Return what may be said if the request is given up now."""
+        """Return the outcome to report if the request is given up now."""
         if self.running or self.may_have_run:
             return Outcome.UNKNOWN
         return Outcome.NOT_RUN
--- a/src/crocusspindle/core/routes.py
+++ b/src/crocusspindle/core/routes.py
@@ -1,4 +1,4 @@
-"""Find the route of a path by its longest prefix of whole segments."""
+"""Match paths to routes by the longest prefix of whole segments."""
 
 from collections.abc import Iterator
 
@@ -35,8 +35,8 @@
     def find(self, path: str) -> Route | None:
         """Return the route with the longest prefix of the path.
 
-        At most as many tries as the deepest route has segments, so a path of a
-        thousand slashes costs no more than a common one.
+        Needs at most as many look-ups as the deepest route has segments, so that a
+        path with thousands of slashes costs no more than an ordinary one.
         """
         candidate = "/".join(path.split("/", self._depth + 1)[: self._depth + 1])
         while candidate:
--- a/src/crocusspindle/core/timers.py
+++ b/src/crocusspindle/core/timers.py
@@ -1,18 +1,18 @@
-"""Keep what falls due, earliest first."""
+"""Keep timers of requests and attempts, earliest first."""
 
 from collections.abc import Callable
 from enum import Enum
 from heapq import heapify, heappop, heappush
 from typing import Final
 
-_SMALLEST_SWEEP: Final = 1_024
+_MIN_SWEEP_SIZE: Final = 1_024
 _STALE_FACTOR: Final = 8
-"""Most timers outlive their request. They are swept at eight times the live ones,
-so that memory follows the live ones and a sweep is paid for by many additions."""
+"""Most timers outlive their request. They are swept when there are this many times the
+live ones, which bounds the memory and amortises a sweep over many additions."""
 
 
 class TimerKind(Enum):
-    """Tell what a timer is for."""
+    """Say what a timer is for."""
 
     DEADLINE = "deadline"
     HEDGE = "hedge"
@@ -23,12 +23,12 @@
 
 
 class Timers:
-    """Hold timers; one whose subject is gone stays until due or swept."""
+    """Hold timers; a stale one, whose subject has ended, stays until due or swept."""
 
     def __init__(self, is_live: Callable[[TimerKind, int], bool]) -> None:
         self._heap: list[Timer] = []
         self._sequence = 0
-        self._sweep_at = _SMALLEST_SWEEP
+        self._sweep_at = _MIN_SWEEP_SIZE
         self._is_live = is_live
 
     def add(self, due_ms: float, kind: TimerKind, subject: int) -> None:
@@ -38,10 +38,10 @@
         if len(self._heap) >= self._sweep_at:
             self._heap = [timer for timer in self._heap if self._is_live(*timer[2:])]
             heapify(self._heap)
-            self._sweep_at = max(_SMALLEST_SWEEP, _STALE_FACTOR * len(self._heap))
+            self._sweep_at = max(_MIN_SWEEP_SIZE, _STALE_FACTOR * len(self._heap))
 
     def pop_due(self, now_ms: float) -> tuple[TimerKind, int] | None:
-        """Take the earliest live timer that is due, or None."""
+        """Remove and return the earliest live timer that is due, or None."""
         while self._heap and self._heap[0][0] <= now_ms:
             _, _, kind, subject = heappop(self._heap)
             if self._is_live(kind, subject):
@@ -49,7 +49,7 @@
         return None
 
     def next_ms(self) -> float | None:
-        """Return when the earliest live timer falls due."""
+        """Return when the earliest live timer is due, or None."""
         while self._heap and not self._is_live(*self._heap[0][2:]):
             heappop(self._heap)
         return self._heap[0][0] if self._heap else None
