--- a/tests/core/home_fakes.py
+++ b/tests/core/home_fakes.py
@@ -1,4 +1,4 @@
-"""Offer small fakes for tests of a home."""
+"""Provide fakes and builders for tests of a group coordinator."""
 
 import random
 
@@ -7,8 +7,8 @@
 from crocusspindle.ids import CustomerId, DomainId, RequestId, ServiceId, TargetId
 
 
-class FakeFitness:
-    """Give every target weight 1 unless told otherwise."""
+class FakeTargetWeights:
+    """Give every target weight 1 and no trial, unless a test sets them."""
 
     def __init__(self):
         self.weights = {}
@@ -34,12 +34,12 @@
     ]
 
 
-def make_home(number=2, slots=1, fitness=None, **settings):
-    home = Home.from_config(
-        HomeSettings(**settings), fitness or FakeFitness(), random.Random(1)
+def make_coordinator(number=2, slots=1, fake_weights=None, **settings):
+    coordinator = Home.from_config(
+        HomeSettings(**settings), fake_weights or FakeTargetWeights(), random.Random(1)
     )
-    home.set_targets(targets(number, slots), 0.0)
-    return home
+    coordinator.set_targets(targets(number, slots), 0.0)
+    return coordinator
 
 
 def arrival(
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -1,4 +1,4 @@
-"""Put health judging through the failures of targets, in virtual time."""
+"""Test health evaluation with failures of targets in virtual time."""
 
 from random import Random
 
@@ -52,9 +52,8 @@
 )
 @pytest.mark.parametrize("seed", range(2))
 def test_gray_target_is_ejected(bad: Behaviour, bound_ms: float, seed: int) -> None:
-    # A target goes on answering health checks and fails some of its real work, or
-    # goes slow, or answers nothing more. Callers see errors or wait now and then,
-    # and nobody else is at fault.
+    # A target passes health checks but fails some of its real work, becomes slow or
+    # stops answering, and it alone is at fault.
     trial = run_trial(since(BEGIN_MS, bad), seed=seed)
     gray = trial.targets[0].target
     at_ms = trial.first(Ejected, gray)
@@ -68,27 +67,26 @@
     [(failing(0.5), False), (slow(5.0), True), (silent, True)],
     ids=["errors", "slow", "silent"],
 )
-def test_fault_of_all_ejects_nobody(bad: Behaviour, suspects_group: bool) -> None:
-    # A dependency that all targets share fails, or this home loses its own way to
-    # them. Every target looks bad at once, and ejecting some would only press the
-    # same work upon the others.
+def test_shared_fault_ejects_no_target(bad: Behaviour, suspects_group: bool) -> None:
+    # A shared dependency fails, or this coordinator loses its path to all targets. All
+    # look bad at once, and ejecting some would only move their work to the others.
     trial = run_trial(since(BEGIN_MS, bad), bad_targets=8)
     assert trial.times(Ejected) == []
     assert bool(trial.times(GroupSuspect)) == suspects_group
 
 
-def test_callers_own_errors_eject_nobody() -> None:
-    # A customer sends nothing but wrong requests, and chance or its own routing
-    # leads them all to one target. The target answers 4xx and is well.
+def test_caller_errors_eject_no_target() -> None:
+    # A customer sends only invalid requests and all happen to reach one target, which
+    # answers 4xx and is healthy.
     trial = run_trial(healthy)
     target = trial.targets[0].target
     for outcome in [Outcome.CALLER_ERROR, Outcome.SHED] * 500:
         assert trial.judge.observe(Sample(target, outcome, 5.0), trial.now_ms) == []
 
 
-def test_target_reached_from_elsewhere_blames_the_path() -> None:
-    # The way from this home to one target is cut in one direction. From here the
-    # target looks dead; a node in another failure domain gets through.
+def test_target_reached_from_elsewhere_makes_the_group_suspect() -> None:
+    # The path from this coordinator to one target is cut in one direction. The target
+    # looks silent from here, but a node in another failure domain reaches it.
     trial = run_trial(since(BEGIN_MS, silent), reached=True)
     asked_ms = trial.first(SecondOpinionWanted, trial.targets[0].target)
     assert asked_ms is not None
@@ -96,10 +94,10 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_long_work_is_no_sickness(seed: int) -> None:
-    # Most requests are short look-ups, a few are uploads a hundred times as long.
-    # Now and then uploads hold all slots of a target, which looks silent meanwhile,
-    # and a turner's photo would be lost by an ejection.
+def test_long_work_is_not_silence(seed: int) -> None:
+    # Most requests are short look-ups, a few are uploads a hundred times as long. At
+    # times uploads hold all slots of a target, which looks silent, and an ejection
+    # would lose them.
     def mixed(rng: Random, now_ms: float) -> tuple[Outcome, float]:
         mean_ms = 2_000.0 if rng.random() < 0.015 else 20.0
         return healthy(rng, now_ms)[0], rng.expovariate(1.0 / mean_ms)
@@ -108,9 +106,9 @@
     assert trial.times(Ejected) == []
 
 
-def test_one_silent_connection_ejects_nobody() -> None:
-    # Something between home and target has lost track of one open connection. Its
-    # request hangs for good while the target answers all others.
+def test_one_silent_connection_ejects_no_target() -> None:
+    # The network between coordinator and target loses the state of one connection. Its
+    # request hangs forever while the target answers all others.
     trial = run_trial(healthy)
     target = trial.targets[0].target
     for step in range(100):
@@ -119,9 +117,9 @@
         assert trial.judge.observe(Sample(target, Outcome.OK, 40.0), now_ms) == []
 
 
-def test_requests_no_longer_outstanding_say_nothing() -> None:
-    # Callers give up on requests, their home cancels them, and nothing more is sent
-    # to the target for a while. What it was late with must not count for ever.
+def test_evidence_of_requests_no_longer_outstanding_expires() -> None:
+    # Callers give up, their requests are cancelled, and nothing more is sent to the
+    # target for a while. The age of those requests must not count against it forever.
     trial = run_trial(healthy)
     target, now_ms = trial.targets[0].target, trial.now_ms + 5_000.0
 
@@ -136,28 +134,28 @@
     assert evidence_nats(now_ms + 1_000.0) == before_nats
 
 
-def test_flapping_target_stays_out_longer_each_time() -> None:
-    # A target is bad for 6 s and well for 6 s by turns. Each return lets it fail
-    # callers again until it is found again.
+def test_flapping_target_is_ejected_for_longer_each_time() -> None:
+    # A target is alternately bad and healthy for 6 s each. After each return it fails
+    # requests until it is detected again.
     trial = HealthTrial.from_config(count=8, slots=2, seed=3)
     gray = trial.targets[0].target
     trial.behaviours[gray] = flapping(BEGIN_MS, 6_000.0, failing(1.0))
     trial.run_until(BEGIN_MS + 120_000.0)
-    lengths_ms = [
+    durations_ms = [
         change.until_ms - at_ms
         for at_ms, change in trial.changes
         if isinstance(change, Ejected)
     ]
-    assert len(lengths_ms) >= 3
-    assert lengths_ms == sorted(lengths_ms)
-    assert lengths_ms[2] > 3.0 * lengths_ms[0]
-    bad_share = sum(min(ms, 120_000.0) for ms in lengths_ms) / 120_000.0
-    assert bad_share > 0.5
+    assert len(durations_ms) >= 3
+    assert durations_ms == sorted(durations_ms)
+    assert durations_ms[2] > 3.0 * durations_ms[0]
+    ejected_fraction = sum(min(ms, 120_000.0) for ms in durations_ms) / 120_000.0
+    assert ejected_fraction > 0.5
 
 
-def test_mended_target_comes_back_by_trials() -> None:
-    # A target fails all work for 10 s and is well again. Its capacity must come
-    # back, with few callers put at risk.
+def test_recovered_target_returns_by_trials() -> None:
+    # A target fails all work for 3 s and recovers. Its capacity must return to service
+    # with few requests at risk.
     trial = HealthTrial.from_config(count=8, slots=2, seed=4)
     gray = trial.targets[0].target
     trial.behaviours[gray] = lambda rng, now_ms: (
@@ -169,8 +167,8 @@
     assert trial.judge.weight(gray, trial.now_ms) == 1.0
 
 
-def test_health_check_that_lies_keeps_nobody_in_service() -> None:
-    # The target's health endpoint answers that all is well while real work fails.
+def test_wrong_health_check_keeps_no_target_in_service() -> None:
+    # The target's health endpoint reports that it is healthy while real work fails.
     trial = HealthTrial.from_config(count=8, slots=2, seed=5)
     gray = trial.targets[0].target
     trial.behaviours[gray] = since(BEGIN_MS, failing(0.3))
@@ -181,8 +179,8 @@
     assert health[gray].state in (HealthState.EJECTED, HealthState.PROBATION)
 
 
-def test_health_check_ejects_nobody() -> None:
-    # The health endpoint lags behind or fails by itself while real work goes well.
+def test_health_check_ejects_no_target() -> None:
+    # The health endpoint lags or fails while real work succeeds.
     trial = run_trial(healthy)
     target = trial.targets[0].target
     for step in range(1_000):
--- a/tests/core/test_home_load.py
+++ b/tests/core/test_home_load.py
@@ -1,4 +1,4 @@
-"""Put a home through load and judge it by what callers see."""
+"""Run a coordinator under load and check the results for callers."""
 
 import random
 from dataclasses import replace
@@ -29,12 +29,12 @@
 )
 from crocusspindle.core.home import Home, HomeSettings
 from crocusspindle.ids import CustomerId
-from tests.core.home_fakes import FakeFitness
+from tests.core.home_fakes import FakeTargetWeights
 
 
-def test_a_neighbour_at_five_times_its_rate_starves_nobody():
-    """One tenant sends five times its rate. In one line with it, small customers
-    lose nearly half of their requests; each in its own line, none does."""
+def test_a_customer_at_five_times_its_rate_starves_no_other():
+    """One customer sends five times its rate. With one shared queue, small customers
+    lose nearly half of their requests; with fair queueing they lose none."""
     shared = describe_customers(serve(five_times_neighbour(), 20.0, False), LARGEST)
     fair = describe_customers(serve(five_times_neighbour(), 20.0), LARGEST)
     assert shared["worst_share_in_time"] < 0.8
@@ -42,9 +42,9 @@
     assert fair["worst_p99_ms"] < 600.0
 
 
-def test_a_burst_fills_only_its_own_part_of_the_queue():
-    """A tenant sends 3,000 requests at once into a queue that holds 200. The others
-    must neither be refused for it nor wait behind it."""
+def test_a_burst_fills_only_its_own_share_of_the_queue():
+    """A customer sends 3,000 requests at once into a queue that holds 200. The requests
+    of others must neither be refused for it nor wait behind it."""
     jobs = make_jobs(demands(0.5), 10_000.0, exponential_work, random.Random(3))
     burst = make_jobs(
         [Demand(CustomerId("burst"), 300_000.0, 80.0, 5_000.0)],
@@ -65,14 +65,14 @@
     assert max(job.answered_ms - job.arrived_ms for job in jobs) < 1_000.0
 
 
-def test_full_saturation_is_refused_early_and_the_rest_is_served():
-    """Everybody sends four times what the targets can do. Callers must hear so long
-    before their deadline, and the targets must not work for nothing."""
+def test_excess_load_is_refused_early_and_the_rest_is_served():
+    """All customers together send four times the capacity. Callers must be refused long
+    before their deadline, and the targets must not do useless work."""
     jobs = serve(demands(6.0), 20.0)
     refused = [job for job in jobs if job.verdict is Verdict.REFUSED]
-    told_at_once = [job for job in refused if job.answered_ms < job.arrived_ms + 10]
+    refused_at_once = [job for job in refused if job.answered_ms < job.arrived_ms + 10]
     unknown = [job for job in jobs if job.verdict is Verdict.UNKNOWN]
-    assert len(told_at_once) > 0.9 * len(refused)
+    assert len(refused_at_once) > 0.9 * len(refused)
     assert len(unknown) < 0.02 * len(jobs)
     assert sum(job.in_time for job in jobs) > 0.9 * 20.0 * 320.0
     assert all(job.executions == 0 for job in refused)
@@ -82,9 +82,9 @@
 @pytest.mark.parametrize(
     "fault, patience_ms", [("slow", 600.0), ("mute", 1_000.0), ("failing", 1_000.0)]
 )
-def test_one_bad_target_costs_nobody_its_answer(fault, patience_ms):
-    """One of eight targets turns slow, mute or fails a third of its work. Before
-    health has ejected it, callers get their answers from others."""
+def test_one_bad_target_costs_no_caller_its_answer(fault, patience_ms):
+    """One of eight targets becomes slow or silent or fails a third of its work. Callers
+    get their answers from others even before the target is ejected."""
 
     def worst(settings):
         demand = demands(patience_ms=patience_ms)
@@ -102,9 +102,9 @@
     assert worst(HomeSettings()) >= 0.999
 
 
-def test_total_failure_is_not_multiplied():
-    """All targets fail. Three attempts for each request would triple the load of
-    targets that already fail; the budget keeps it near one."""
+def test_retries_do_not_multiply_a_total_failure():
+    """All targets fail. Three attempts per request would triple the load of the failing
+    targets; the retry tokens keep it near one attempt per request."""
 
     def sent_per_request(settings):
         jobs = make_jobs(demands(), 20_000.0, exponential_work, random.Random(3))
@@ -119,10 +119,9 @@
     assert sent_per_request(HomeSettings()) < 1.12
 
 
-def test_short_work_beside_long_work_keeps_to_its_deadline():
-    """A few customers send long uploads, others short lookups, together more than
-    the targets can do. The lookups have little time and must not wait behind the
-    uploads."""
+def test_short_work_beside_long_work_meets_its_deadline():
+    """A few customers send long uploads, others short lookups, together above the
+    capacity. The lookups have short deadlines and must not wait behind the uploads."""
     demand = [
         Demand(CustomerId(f"customer-{index}"), rate_per_s, 60.0, patience_ms)
         for index, (rate_per_s, patience_ms) in enumerate(
@@ -141,61 +140,63 @@
 
 
 @pytest.mark.parametrize("claimed, real, load", [(6, 2, 0.8), (1, 4, 0.6)])
-def test_wrong_slots_in_the_host_list_are_learnt(claimed, real, load):
-    """The host list claims more or fewer slots than a target has. Believed, it would
-    get every second request shed, or callers refused beside idle slots."""
+def test_wrong_slots_in_the_host_list_are_corrected(claimed, real, load):
+    """The host list states more or fewer slots than a target has. Relying on it would
+    shed every second request, or refuse callers while slots idle."""
     loop = EventLoop()
     targets = make_targets(loop, 8, real, random.Random(1))
     for target in targets:
         target.target = replace(target.target, slots=claimed)
-    home = Home.from_config(HomeSettings(), ConstantFitness(), random.Random(2))
-    driver = HomeDriver(loop, home, targets)
+    coordinator = Home.from_config(HomeSettings(), ConstantFitness(), random.Random(2))
+    driver = HomeDriver(loop, coordinator, targets)
     demand = [Demand(CustomerId("club"), load * 8 * real * 20.0, 1.0, 5_000.0)]
     jobs = make_jobs(demand, 40_000.0, exponential_work, random.Random(3))
     driver.submit(jobs)
     loop.run()
-    assert [each.limit for each in home.snapshot().targets] == [real] * 8
+    assert [each.limit for each in coordinator.snapshot().targets] == [real] * 8
     assert sum(target.overruns for target in targets) < 0.01 * len(jobs)
     assert share_in_time(jobs[len(jobs) // 2 :]) == 1.0
 
 
-def test_two_homes_for_a_while_share_the_slots():
-    """The members see different views for a while, and two homes place work on the
-    same targets. Shed requests cost time, but no caller its answer."""
+def test_two_coordinators_at_once_share_the_slots():
+    """The members have different views for a while, and two coordinators place requests
+    on the same targets. Shed requests cost time, but no caller loses its answer."""
     loop = EventLoop()
     targets = make_targets(loop, 8, 2, random.Random(1))
     jobs = make_jobs(demands(), 20_000.0, exponential_work, random.Random(3))
     for number in range(2):
-        home = Home.from_config(HomeSettings(), ConstantFitness(), random.Random(2))
-        HomeDriver(loop, home, targets).submit(jobs[number::2])
+        coordinator = Home.from_config(
+            HomeSettings(), ConstantFitness(), random.Random(2)
+        )
+        HomeDriver(loop, coordinator, targets).submit(jobs[number::2])
     loop.run()
     assert share_in_time(jobs) >= 0.999
     assert sum(target.overruns for target in targets) < 0.02 * len(jobs)
 
 
-def test_a_home_overruns_targets_less_than_picks_from_each_entry():
-    """Forty entries pick among targets of two slots, each by the few requests that
-    it sent itself. Requests queue at one target while another idles."""
-    picked = place_by_entries(0.8, 20.0, queues=True)
-    placed = place_by_home(0.8, 20.0, HomeSettings())
-    assert picked["overruns_per_request"] > 0.3
-    assert placed["overruns_per_request"] < 0.01
-    assert placed["mean_wait_ms"] < 0.3 * picked["mean_wait_ms"]
+def test_a_coordinator_overruns_targets_less_than_entries_choosing_alone():
+    """Forty entries choose among targets of two slots, each by the few requests that it
+    sent itself. Requests queue at one target while another idles."""
+    by_entries = place_by_entries(0.8, 20.0, queues=True)
+    by_coordinator = place_by_home(0.8, 20.0, HomeSettings())
+    assert by_entries["overruns_per_request"] > 0.3
+    assert by_coordinator["overruns_per_request"] < 0.01
+    assert by_coordinator["mean_wait_ms"] < 0.3 * by_entries["mean_wait_ms"]
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_work_waits_for_a_good_slot_rather_than_try_a_doubtful_target(idempotent):
+def test_requests_wait_for_a_good_slot_rather_than_use_a_low_weight_target(idempotent):
     """Half of the targets fail all work, and the floor keeps them in service. At low
-    load a good slot is about to be free, so nobody's work need be lost on them."""
+    load a good slot is soon free, so no request needs to be lost on them."""
     demand = [replace(each, idempotent=idempotent) for each in demands(0.44)]
     jobs = make_jobs(demand, 30_000.0, exponential_work, random.Random(5))
     loop = EventLoop()
     targets = make_targets(loop, 8, 2, random.Random(1))
-    fitness = FakeFitness()
+    fake_weights = FakeTargetWeights()
     for target in targets[:4]:
         target.fail_fraction = 1.0
-        fitness.weights[target.target.target] = 0.1
-    home = Home.from_config(HomeSettings(), fitness, random.Random(2))
-    HomeDriver(loop, home, targets).submit(jobs)
+        fake_weights.weights[target.target.target] = 0.1
+    coordinator = Home.from_config(HomeSettings(), fake_weights, random.Random(2))
+    HomeDriver(loop, coordinator, targets).submit(jobs)
     loop.run()
     assert share_in_time(jobs) >= 0.999
--- a/tests/core/test_home_machine.py
+++ b/tests/core/test_home_machine.py
@@ -1,4 +1,4 @@
-"""Search orders of events that make a home lie or run a payment twice."""
+"""Search for event orders with a wrong outcome or a payment that runs twice."""
 
 from dataclasses import dataclass, field
 
@@ -16,15 +16,15 @@
     Refuse,
 )
 from crocusspindle.core.model import TargetState
-from tests.core.home_fakes import FakeFitness, arrival, make_home, targets
+from tests.core.home_fakes import FakeTargetWeights, arrival, make_coordinator, targets
 
 PROVABLY_NOT_RUN = {AttemptEnd.SHED, AttemptEnd.UNSENT}
 INDEX = st.integers(0, 1_000)
 
 
 @dataclass
-class Seen:
-    """What became of one request as a target and its caller see it."""
+class ObservedRequest:
+    """State of one request as its targets and its caller observe it."""
 
     idempotent: bool
     started: bool = False
@@ -34,48 +34,50 @@
         return all(end in PROVABLY_NOT_RUN for end in self.ends.values())
 
 
-class HomeMachine(RuleBasedStateMachine):
+class CoordinatorMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.fitness = FakeFitness()
-        self.home = make_home(3, slots=2, fitness=self.fitness, max_queued=4)
+        self.fake_weights = FakeTargetWeights()
+        self.coordinator = make_coordinator(
+            3, slots=2, fake_weights=self.fake_weights, max_queued=4
+        )
         self.live = {target.target for target in targets(3)}
         self.now_ms = 0.0
         self.next_request = 1
         self.open = {}
         self.running = {}
         self.cancelled = set()
-        # With usual latencies learnt, late requests are hedged.
+        # Learn typical latencies, so that late requests are hedged.
         for _ in range(64):
             self.arrive(True, "small", 500)
             self.now_ms += 10
             self.end(0, AttemptEnd.ANSWERED)
 
-    def see(self, decisions):
+    def apply(self, decisions):
         for decision in decisions:
             if isinstance(decision, Dispatch):
-                self.see_dispatch(decision)
+                self.apply_dispatch(decision)
             elif isinstance(decision, Cancel):
                 assert decision.attempt in self.running
                 self.cancelled.add(decision.attempt)
             else:
-                self.see_answer(decision)
+                self.apply_answer(decision)
 
-    def see_dispatch(self, decision):
-        seen = self.open[decision.request]
+    def apply_dispatch(self, decision):
+        observed = self.open[decision.request]
         assert decision.target in self.live
-        assert not seen.started
-        if not seen.idempotent:
-            assert seen.certainly_not_run(), "a payment may run twice"
-        seen.ends[decision.attempt] = None
-        self.running[decision.attempt] = (decision.request, seen)
-
-    def see_answer(self, decision):
-        seen = self.open.pop(decision.request)
+        assert not observed.started
+        if not observed.idempotent:
+            assert observed.certainly_not_run(), "a payment may run twice"
+        observed.ends[decision.attempt] = None
+        self.running[decision.attempt] = (decision.request, observed)
+
+    def apply_answer(self, decision):
+        observed = self.open.pop(decision.request)
         if isinstance(decision, Finish):
-            assert seen.ends[decision.attempt] is AttemptEnd.ANSWERED
+            assert observed.ends[decision.attempt] is AttemptEnd.ANSWERED
         elif isinstance(decision, Refuse) or decision.outcome is Outcome.NOT_RUN:
-            assert seen.certainly_not_run(), "not run is not true"
+            assert observed.certainly_not_run(), "the outcome NOT_RUN may be wrong"
         else:
             assert isinstance(decision, Fail)
 
@@ -87,7 +89,7 @@
     def arrive(self, idempotent, customer, patience_ms):
         request = self.next_request
         self.next_request += 1
-        self.open[request] = Seen(idempotent)
+        self.open[request] = ObservedRequest(idempotent)
         new = arrival(
             request,
             customer,
@@ -95,7 +97,7 @@
             idempotent=idempotent,
             credential=customer.encode(),
         )
-        self.see(self.home.arrive(new, self.now_ms))
+        self.apply(self.coordinator.arrive(new, self.now_ms))
 
     @rule(idempotent=st.booleans(), number=st.integers(2, 6))
     def arrive_together(self, idempotent, number):
@@ -106,10 +108,10 @@
     def end(self, index, end):
         if self.running:
             attempt = sorted(self.running)[index % len(self.running)]
-            _, seen = self.running.pop(attempt)
+            _, observed = self.running.pop(attempt)
             self.cancelled.discard(attempt)
-            seen.ends[attempt] = end
-            self.see(self.home.ended(attempt, end, 10.0, self.now_ms))
+            observed.ends[attempt] = end
+            self.apply(self.coordinator.ended(attempt, end, 10.0, self.now_ms))
 
     @rule(index=INDEX)
     def answer_several(self, index):
@@ -126,25 +128,25 @@
     def start(self, index):
         if self.running:
             attempt = sorted(self.running)[index % len(self.running)]
-            request, seen = self.running[attempt]
-            if attempt not in self.cancelled and self.open.get(request) is seen:
-                seen.started = True
-            self.see(self.home.started(attempt, self.now_ms))
+            request, observed = self.running[attempt]
+            if attempt not in self.cancelled and self.open.get(request) is observed:
+                observed.started = True
+            self.apply(self.coordinator.started(attempt, self.now_ms))
 
     @rule(index=INDEX)
     def withdraw(self, index):
         if self.open:
             request = sorted(self.open)[index % len(self.open)]
-            self.see(self.home.withdraw(request, self.now_ms))
+            self.apply(self.coordinator.withdraw(request, self.now_ms))
 
     @rule(customer=st.sampled_from([b"small", b"large"]))
     def revoke(self, customer):
-        self.see(self.home.revoke(customer, self.now_ms))
+        self.apply(self.coordinator.revoke(customer, self.now_ms))
 
     @rule(delay_ms=st.integers(1, 100))
     def wait(self, delay_ms):
         self.now_ms += delay_ms
-        self.see(self.home.tick(self.now_ms))
+        self.apply(self.coordinator.tick(self.now_ms))
 
     @rule(states=st.lists(st.sampled_from(["live", "leaving", "gone"]), max_size=3))
     def change_targets(self, states):
@@ -154,33 +156,35 @@
             if state != "gone"
         ]
         self.live = {each.target for each in listed if each.state is TargetState.LIVE}
-        self.see(self.home.set_targets(listed, self.now_ms))
+        self.apply(self.coordinator.set_targets(listed, self.now_ms))
 
     @rule(number=st.integers(0, 2), weight=st.sampled_from([0.0, 0.25, 1.0]))
-    def change_fitness(self, number, weight):
+    def change_weight(self, number, weight):
         target = targets(3)[number].target
-        self.fitness.weights[target] = weight
+        self.fake_weights.weights[target] = weight
         if weight:
-            self.fitness.trials.discard(target)
+            self.fake_weights.trials.discard(target)
         else:
-            self.fitness.trials.add(target)
+            self.fake_weights.trials.add(target)
 
     @invariant()
     def a_slot_is_held_by_what_runs(self):
-        # Cancelled attempts free theirs a second later at the latest.
+        # Cancelled attempts free their slots within a second.
         surely_running = len(self.running) - len(self.cancelled)
-        assert surely_running <= self.home.load().running <= len(self.running)
+        assert surely_running <= self.coordinator.load().running <= len(self.running)
 
     def teardown(self):
         self.wait(10_000)
         for attempt in sorted(self.running):
-            self.see(self.home.ended(attempt, AttemptEnd.SILENT, 1.0, self.now_ms))
-        assert not self.open, "a caller never got its final answer"
-        load = self.home.load()
+            self.apply(
+                self.coordinator.ended(attempt, AttemptEnd.SILENT, 1.0, self.now_ms)
+            )
+        assert not self.open, "a request got no final answer"
+        load = self.coordinator.load()
         assert (load.queued, load.running) == (0, 0)
 
 
-HomeMachine.TestCase.settings = settings(
+CoordinatorMachine.TestCase.settings = settings(
     max_examples=200, stateful_step_count=40, deadline=None, derandomize=True
 )
-TestHome = HomeMachine.TestCase
+TestCoordinator = CoordinatorMachine.TestCase
