--- a/src/crocusspindle/core/refusal.py
+++ b/src/crocusspindle/core/refusal.py
@@ -32,7 +32,7 @@
         wait_ms: float,
         spacing_ms: float,
     ) -> float:
-        """Return a retry time at least ``wait_ms`` from now and after earlier ones."""
+        """Return a time ``wait_ms`` from now or later, spaced from the previous one."""
         earliest_ms = now_ms + wait_ms
         # The coordinators of a service refuse the same callers; without jitter these
         # would all retry at the same moments.
--- a/src/crocusspindle/core/roster.py
+++ b/src/crocusspindle/core/roster.py
@@ -27,8 +27,8 @@
 suspect's 0.25 is above, since only work can confirm or clear a suspicion."""
 
 _LOW_WEIGHT_INTERVAL_MS: Final = 1_000.0
-"""A low-weight target still gets one idempotent request per interval, within what the
-retry tokens cover, since without work it could never show that it has recovered."""
+"""A low-weight target still gets one idempotent request per interval, since without
+work it could never show that it has recovered. The retry tokens cover the failures."""
 
 
 class Roster:
--- a/src/crocusspindle/core/slots.py
+++ b/src/crocusspindle/core/slots.py
@@ -80,7 +80,7 @@
             self.limit += 1
             self._ramping = self.limit < self.target.slots
         elif self._probe is not None:
-            self._judge_probe(latency_ms)
+            self._evaluate_probe(latency_ms)
         else:
             self._at_limit.add(latency_ms)
             if has_queued and self._at_limit.count >= self._probe_interval:
@@ -107,12 +107,12 @@
         self.limit += 1
         self._probe = _Mean()
 
-    def _judge_probe(self, latency_ms: float) -> None:
+    def _evaluate_probe(self, latency_ms: float) -> None:
         """Keep a raised limit if throughput rose, rather than a queue in the target.
 
-        With one request more, the latency of a target that queues internally rises by
-        (n + 1) / n. Half of that rise is the threshold; with 64 n^2 samples of
-        exponential times it is 2.8 standard errors from either case.
+        With one request more, the latency of a target that queues internally is
+        (n + 1) / n times as long. Half of that rise is the threshold; with 64 n^2
+        samples of exponential times it is 2.8 standard errors from either case.
         """
         probe = self._probe
         assert probe is not None
