--- a/src/crocusspindle/core/ticket_schema.py
+++ b/src/crocusspindle/core/ticket_schema.py
@@ -1,7 +1,7 @@
-"""Define change tickets: their typed content, their documents and their hash.
+"""Define change tickets: typed content, document format and content hash.
 
-A ticket carries the whole new state of everything that it touches, so that a
-node which applies tickets in order needs nothing else to know the outcome.
+A ticket carries the complete new state of each item that it changes, so a node that
+applies tickets in order needs no other input to compute the resulting state.
 """
 
 import hashlib
@@ -32,8 +32,8 @@
 from crocusspindle.yaml_document import LineMap, read_document
 
 MAX_ENTRIES: Final = 10_000
-"""Entries of one ticket; a larger change is cut into several, so that applying
-one ticket never holds up a node's requests for more than tens of ms."""
+"""Entries of one ticket. Larger changes are split into several tickets, so applying
+one never blocks a node's requests for more than tens of milliseconds."""
 
 STORED: Final = "stored ticket"
 
@@ -48,7 +48,7 @@
 
 
 class _Strict(BaseModel):
-    """Refuse unknown keys and silent conversions between types."""
+    """Reject unknown keys and implicit type conversions."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ApprovalId:
-    """Name the approval of one calling customer by the owner of one service."""
+    """Identify a service owner's approval of one customer."""
 
     service: ServiceId
     customer: CustomerId
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class States:
-    """Hold the whole new states that a ticket sets, in order of their names."""
+    """Hold the complete new states that a ticket sets, sorted by name."""
 
     customers: tuple[Customer, ...] = ()
     keys: tuple[CustomerKey, ...] = ()
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Removals:
-    """Hold the names that a ticket removes, in order."""
+    """Hold the names that a ticket removes, sorted."""
 
     customers: tuple[CustomerId, ...] = ()
     keys: tuple[KeyDigest, ...] = ()
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """Hold one numbered change: whole states to set and names to remove."""
+    """Represent one numbered change: states to set and names to remove."""
 
     number: TicketNumber
     author: str
@@ -139,7 +139,7 @@
 def parse_ticket(document: bytes | str | Mapping[str, Any], source: str) -> Ticket:
     """Parse a ticket from YAML, JSON or a mapping.
 
-    Raises ``TicketError`` with every finding of the document.
+    Raises ``TicketError`` with all findings.
     """
     content, lines = _content(document, source)
     try:
@@ -165,7 +165,7 @@
 
 
 def encode_ticket(ticket: Ticket) -> bytes:
-    """Encode a ticket to its one canonical form, a JSON document."""
+    """Encode a ticket in its canonical form, a JSON document."""
     document = {
         "number": ticket.number,
         "author": ticket.author,
@@ -182,11 +182,11 @@
 
 
 def decode_ticket(content: bytes) -> Ticket:
-    """Decode a ticket from the bytes of a row or a peer.
+    """Decode a ticket from the bytes of a table row or a peer's message.
 
-    Every node does this for every ticket, so it goes without YAML, which takes a
-    second for 10,000 entries. Raises ``TicketError``. A node that is too old to know
-    a newer field stops here and turns unfit, rather than apply half of a ticket.
+    Every node decodes every ticket, so this reads JSON only: YAML takes a second for
+    10,000 entries. Raises ``TicketError``, also for unknown fields: a node running an
+    older version becomes ineligible instead of applying part of a ticket.
     """
     try:
         document = json.loads(content)
@@ -198,7 +198,7 @@
 
 
 def content_hash(ticket: Ticket) -> bytes:
-    """Return the SHA-256 digest of the canonical form, author included."""
+    """Return the SHA-256 digest of the canonical form, including the author."""
     return hashlib.sha256(encode_ticket(ticket)).digest()
 
 
@@ -206,10 +206,10 @@
     error: ValidationError, source: str, lines: LineMap
 ) -> tuple[Finding, ...]:
     found = []
-    for fault in error.errors(include_url=False, include_input=False):
-        place = tuple(part for part in fault["loc"] if part != "[key]")
-        path = ".".join(str(part) for part in place) or "document"
-        found.append(Finding(source, path, fault["msg"], lines.line(place)))
+    for detail in error.errors(include_url=False, include_input=False):
+        location = tuple(part for part in detail["loc"] if part != "[key]")
+        path = ".".join(str(part) for part in location) or "document"
+        found.append(Finding(source, path, detail["msg"], lines.line(location)))
     return tuple(found)
 
 
@@ -221,13 +221,15 @@
     entries += len(parsed.routes)
     entries += sum(len(callers) for callers in parsed.approvals.values())
     if entries == 0:
-        found.append(Finding(source, "document", "changes nothing", 1))
+        found.append(Finding(source, "document", "has no entries", 1))
     if entries > MAX_ENTRIES:
-        message = f"has {entries} entries, more than {MAX_ENTRIES}"
+        message = f"has {entries} entries, limit is {MAX_ENTRIES}"
         found.append(Finding(source, "document", message, 1))
     if len({digest.lower() for digest in parsed.keys}) != len(parsed.keys):
-        place = lines.line(("keys",))
-        found.append(Finding(source, "keys", "names one digest twice", place))
+        location = lines.line(("keys",))
+        found.append(
+            Finding(source, "keys", "contains the same digest twice", location)
+        )
     return tuple(found)
 
 
--- a/src/crocusspindle/core/tickets.py
+++ b/src/crocusspindle/core/tickets.py
@@ -1,8 +1,8 @@
-"""Decide on change tickets: acceptance, order of application, being in force.
+"""Decide acceptance, application order and completion of change tickets.
 
-Load: 7,400 tickets a day, and bursts of several operators at once. The harm to
-prevent is a fleet in which two nodes hold different states, or in which a
-withdrawn key comes back, because tickets were skipped, reordered or rewritten.
+Handles 7,400 tickets a day and bursts from several operators at once. Skipped,
+reordered or rewritten tickets would let two nodes hold different states, or
+reactivate a withdrawn key.
 """
 
 from collections import OrderedDict
@@ -21,19 +21,19 @@
     TicketNumber,
 )
 
-KEPT_HASHES: Final = 8_192
-"""Applied tickets whose content can still be compared: a day's at 7,400."""
+MAX_HASHES: Final = 8_192
+"""Applied tickets whose content hash is kept: a day's at 7,400 tickets a day."""
 
 MAX_PENDING: Final = 1_024
-"""Tickets held behind a gap: 10,000 entries each would not fit a node otherwise;
-what is dropped here is asked for again by ``missing``."""
+"""Tickets kept behind a gap. With 10,000 entries each, more would exceed a node's
+memory; dropped tickets are requested again through ``missing``."""
 
-MAX_ASKED: Final = 256
-"""Numbers named by one ``missing`` call, so that a long gap is read in pages."""
+MAX_MISSING: Final = 256
+"""Numbers returned by one ``missing`` call, so that a long gap is read in pages."""
 
 
 class DirectoryView(Protocol):
-    """Show what is configured after the ticket before the checked one."""
+    """Query the configuration that the checked ticket will be applied to."""
 
     def has_customer(self, customer: CustomerId) -> bool:
         """Return True if the customer is configured."""
@@ -42,16 +42,16 @@
         """Return True if the service is configured."""
 
     def key_customer(self, digest: KeyDigest) -> CustomerId | None:
-        """Return the customer that a key is bound to, withdrawn or not."""
+        """Return the customer that an active or withdrawn key is bound to."""
 
     def route_prefixes(self, service: ServiceId) -> Collection[str]:
-        """Return the prefixes that lead to a service."""
+        """Return the route prefixes that point to a service."""
 
 
 def references_check(
     ticket: Ticket, directory: DirectoryView, source: str = "ticket"
 ) -> tuple[Finding, ...]:
-    """Return a finding for each reference to something that would not exist."""
+    """Return a finding for each reference that the ticket would leave dangling."""
     customers = {customer.customer for customer in ticket.set.customers}
     services = {service.service for service in ticket.set.services}
 
@@ -74,7 +74,7 @@
             found.append(_unknown(source, path, "customer", key.customer))
         bound = directory.key_customer(key.digest)
         if bound not in (None, key.customer):
-            message = f"key is bound to customer {bound!r} for good"
+            message = f"key is bound to customer {bound!r} and cannot be rebound"
             found.append(Finding(source, path, message))
     for route in ticket.set.routes:
         if lacks_service(route.service):
@@ -104,9 +104,9 @@
         path = f"services.{service}"
         if not directory.has_service(service):
             found.append(_unknown(source, path, "service", service))
-        left = sorted(set(directory.route_prefixes(service)) - moved)
-        if left:
-            message = f"routes {', '.join(left)} still lead to it"
+        remaining = sorted(set(directory.route_prefixes(service)) - moved)
+        if remaining:
+            message = f"routes {', '.join(remaining)} still point to it"
             found.append(Finding(source, path, message))
     return found
 
@@ -116,10 +116,10 @@
 
 
 class TicketLog:
-    """Hold what this node has applied, and give out what to apply next.
+    """Track the applied tickets and return those to apply next.
 
-    Stale snapshots, late gossip and repeated reads all end in ``offer`` and
-    ``install``; neither ever moves backwards or over a gap.
+    Stale snapshots, delayed gossip and repeated reads all arrive through ``offer`` and
+    ``install``; neither ever moves backwards or skips a gap.
     """
 
     def __init__(self) -> None:
@@ -130,89 +130,93 @@
 
     @property
     def next_number(self) -> TicketNumber:
-        """Return the number that the next ticket has to carry."""
+        """Return the number that the next submitted ticket must have."""
         return TicketNumber(self.head_seen + 1)
 
-    def saw_head(self, number: TicketNumber) -> None:
-        """Note that the platform or a peer holds tickets up to a number."""
+    def record_head(self, number: TicketNumber) -> None:
+        """Record that the platform or a peer has tickets up to a number."""
         self.head_seen = max(self.head_seen, number)
 
     def offer(self, ticket: Ticket) -> list[Ticket]:
-        """Take a ticket in and return those to apply now, in order.
+        """Accept a ticket and return the tickets to apply now, in order.
 
-        Raises ``TicketConflictError`` when the number is known with other content:
-        the table never rewrites a row, so one of the two was never accepted. A
-        pending one is then dropped and read again; an applied one is a fault that
-        an operator has to see.
+        Raises ``TicketConflictError`` if the number is known with different content:
+        table rows are never rewritten, so one of the two was never accepted. A pending
+        ticket is then dropped and read again; a conflict with an applied one is a fault
+        that an operator must see.
         """
-        self.saw_head(ticket.number)
+        self.record_head(ticket.number)
         if ticket.number <= self.applied:
             self._check_applied(ticket)
             return []
         pending = self._pending.get(ticket.number)
         if pending is not None and pending != ticket:
             del self._pending[ticket.number]
-            raise TicketConflictError(_conflict(ticket.number, "waiting"))
+            raise TicketConflictError(_conflict_message(ticket.number, "waiting"))
         self._pending[ticket.number] = ticket
-        ready = self._drain()
-        self._bound_pending()
+        ready = self._pop_ready()
+        self._trim_pending()
         return ready
 
     def install(self, number: TicketNumber) -> list[Ticket] | None:
-        """Adopt a snapshot of the state after a ticket.
+        """Install a snapshot of the state after a ticket.
 
-        Returns None when the snapshot is older than what is applied and must not be
-        loaded, else the waiting tickets to apply after it.
+        Returns None if the snapshot is not newer than the applied state and must not be
+        loaded, otherwise the pending tickets to apply after it.
         """
         if number <= self.applied:
             return None
         self.applied = number
-        self.saw_head(number)
+        self.record_head(number)
         self._hashes.clear()
-        for waiting in [kept for kept in self._pending if kept <= number]:
+        for waiting in [
+            pending_number
+            for pending_number in self._pending
+            if pending_number <= number
+        ]:
             del self._pending[waiting]
-        return self._drain()
+        return self._pop_ready()
 
     def missing(self) -> list[TicketNumber]:
-        """Return the lowest numbers to ask for, at most ``MAX_ASKED``."""
+        """Return the lowest missing numbers, at most ``MAX_MISSING``."""
         found: list[TicketNumber] = []
         number = TicketNumber(self.applied + 1)
-        while number <= self.head_seen and len(found) < MAX_ASKED:
+        while number <= self.head_seen and len(found) < MAX_MISSING:
             if number not in self._pending:
                 found.append(number)
             number = TicketNumber(number + 1)
         return found
 
     def applied_hash(self, number: TicketNumber) -> bytes | None:
-        """Return the content hash of an applied ticket while it is kept."""
+        """Return the content hash of an applied ticket, or None once discarded."""
         return self._hashes.get(number)
 
     def _check_applied(self, ticket: Ticket) -> None:
         known = self._hashes.get(ticket.number)
         if known is not None and known != content_hash(ticket):
-            raise TicketConflictError(_conflict(ticket.number, "applied"))
+            raise TicketConflictError(_conflict_message(ticket.number, "applied"))
 
-    def _drain(self) -> list[Ticket]:
+    def _pop_ready(self) -> list[Ticket]:
         ready = []
         while ticket := self._pending.pop(TicketNumber(self.applied + 1), None):
             self.applied = ticket.number
             self._hashes[ticket.number] = content_hash(ticket)
             ready.append(ticket)
-        while len(self._hashes) > KEPT_HASHES:
+        while len(self._hashes) > MAX_HASHES:
             self._hashes.popitem(last=False)
         return ready
 
-    def _bound_pending(self) -> None:
+    def _trim_pending(self) -> None:
         while len(self._pending) > MAX_PENDING:
             del self._pending[max(self._pending)]
 
 
-def _conflict(number: TicketNumber, state: str) -> str:
+def _conflict_message(number: TicketNumber, state: str) -> str:
     return f"ticket {number} differs from the one {state} under its number"
 
 
 class SubmissionStep(Enum):
-    """Tell the driver of a submission what to do next."""
+    """Name the next step of a submission."""
 
     READ_PREDECESSOR = "read predecessor"
     PUT = "put"
@@ -221,7 +225,7 @@
 
 
 class SubmissionOutcome(Enum):
-    """Tell the operator what became of a ticket."""
+    """Name the result of a submission, as reported to the operator."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -231,17 +235,16 @@
 
 
 class Submission:
-    """Lead one ticket into the table through lost answers and rivals.
+    """Write one ticket to the table despite lost responses and concurrent writers.
 
-    Fault: the answer of the insertion is lost after the row was written. An
-    operator who then gets an error repeats the ticket and must not be told that
-    somebody else took the number. Reading the row back and comparing content
-    hashes tells the two apart.
+    If the response to the insertion is lost after the row was written, the operator
+    gets an error and resubmits the ticket, which must not be reported as a conflict.
+    Reading the row back and comparing content hashes tells the two cases apart.
     """
 
     MAX_CALLS: Final = 6
-    """Platform calls that may fail in one submission: with a second each, an
-    operator waits no longer than the 17 s in which a change should be in force."""
+    """Failed platform calls per submission. At a second each, an operator waits less
+    than the 17 s within which a change should be in force."""
 
     def __init__(self, ticket: Ticket, deadline_ms: float) -> None:
         self.ticket = ticket
@@ -255,31 +258,31 @@
             self.step = SubmissionStep.PUT
 
     def predecessor_read(self, present: bool) -> None:
-        """Note whether the row before exists; rows are never deleted."""
+        """Record whether the previous row exists; rows are never deleted."""
         if not present:
             self._end(SubmissionOutcome.GAP)
             return
         self.step = SubmissionStep.PUT
 
     def put_applied(self) -> None:
-        """Note that the row was inserted by this call."""
+        """Record that this call inserted the row."""
         self._end(SubmissionOutcome.ACCEPTED)
 
     def row_found(self, found_hash: bytes) -> None:
-        """Note the content of the row that a put met or a read returned."""
+        """Record the content hash of the row that a put or a read found."""
         same = found_hash == self._hash
         self._end(SubmissionOutcome.ACCEPTED if same else SubmissionOutcome.CONFLICT)
 
     def row_absent(self) -> None:
-        """Note that a read back found no row; the write may still be on its way."""
+        """Record that reading back found no row; the write may still be in flight."""
         self.step = SubmissionStep.PUT
 
     def call_unavailable(self, now_ms: float) -> None:
-        """Note that the present step's call certainly had no effect."""
+        """Record that the current step's call certainly had no effect."""
         self._failed(now_ms)
 
     def call_unknown(self, now_ms: float) -> None:
-        """Note that the present step's call may have had its effect."""
+        """Record that the current step's call may have taken effect."""
         if self.step is SubmissionStep.PUT:
             self._maybe_written = True
             self.step = SubmissionStep.READ_BACK
@@ -289,8 +292,8 @@
         self._failures += 1
         if self._failures < self.MAX_CALLS and now_ms < self._deadline_ms:
             return
-        # A write whose answer was lost can land after any number of reads that did
-        # not show it, so a later certain failure never turns this back.
+        # A write whose response was lost can take effect after any number of reads
+        # that missed it, so a later definite failure does not clear this flag.
         unknown = self._maybe_written
         self._end(
             SubmissionOutcome.UNKNOWN if unknown else SubmissionOutcome.NOT_WRITTEN
@@ -305,15 +308,15 @@
     number: TicketNumber,
     confirmations: Mapping[MemberId, TicketNumber],
     view: MemberView,
-    unfit: Collection[MemberId],
+    ineligible: Collection[MemberId],
 ) -> bool:
-    """Return True if no member of the view serves by an older state.
+    """Return True if no member of the view serves from an older state.
 
-    ``confirmations`` gives the last ticket that each member says it has applied;
-    ``unfit`` names those known to refuse new work, by their own word or because
-    their last stamp has run out on the clock of the node that asks.
+    ``confirmations`` has the last ticket that each member reports as applied.
+    ``ineligible`` has the members known to refuse new work: they reported it, or
+    their last freshness timestamp has expired by the calling node's clock.
     """
     return all(
-        confirmations.get(member.member, 0) >= number or member.member in unfit
+        confirmations.get(member.member, 0) >= number or member.member in ineligible
         for member in view.members
     )
--- a/tests/core/test_tickets.py
+++ b/tests/core/test_tickets.py
@@ -60,7 +60,7 @@
     return Ticket(TicketNumber(number), "ops", "test", States(customers=(state,)))
 
 
-class Directory:
+class DirectoryStub:
     def __init__(self, customers: Collection[str] = (), services: Collection[str] = ()):
         self.customers, self.services = set(customers), set(services)
         self.keys: dict[KeyDigest, CustomerId] = {}
@@ -79,7 +79,7 @@
         return self.routes.get(service, [])
 
 
-def test_whole_states_and_removals_are_parsed_and_survive_the_row() -> None:
+def test_states_and_removals_are_parsed_and_survive_encoding() -> None:
     parsed = parse_ticket(DOCUMENT, "17.yaml")
     assert parsed.set.customers == (Customer(CustomerId("club-a"), 5.0, 10, 1.0),)
     assert parsed.remove.customers == ("club-b",)
@@ -110,7 +110,7 @@
         ("reason:", "raison:", "raison", 3),
     ],
 )
-def test_each_fault_is_found_with_its_line(
+def test_each_error_is_reported_with_its_line(
     old: str, new: str, path: str, line: int
 ) -> None:
     with pytest.raises(TicketError) as caught:
@@ -118,7 +118,7 @@
     assert (path, line) in [(f.path, f.line) for f in caught.value.findings]
 
 
-def test_all_findings_come_together() -> None:
+def test_all_findings_are_reported_together() -> None:
     broken = DOCUMENT.replace("burst: 10", "burst: 0").replace("0.5", "-1")
     with pytest.raises(TicketError) as caught:
         parse_ticket(broken, "17.yaml")
@@ -140,25 +140,24 @@
         f"  {DIGEST.upper()}: null\n",
     ],
 )
-def test_text_that_could_mislead_is_refused(document: str | bytes) -> None:
-    """A key that stands twice, an alias or a digest in two spellings would let the
-    loader pick one of two states in silence, and an operator would believe in the
-    other."""
+def test_ambiguous_documents_are_refused(document: str | bytes) -> None:
+    """A duplicate key, an alias or a digest in upper and lower case would let the
+    loader silently pick one of two states, while the operator expects the other."""
     with pytest.raises(TicketError):
         parse_ticket(document, "ticket")
 
 
 @pytest.mark.parametrize("content", [b"", b"[]", b"number: 1", b"\xff", b"{}"])
-def test_a_row_that_is_no_ticket_is_refused(content: bytes) -> None:
+def test_invalid_rows_are_refused(content: bytes) -> None:
     with pytest.raises(TicketError):
         decode_ticket(content)
 
 
-def test_references_to_what_is_not_configured_are_found() -> None:
+def test_references_to_unconfigured_items_are_reported() -> None:
     parsed = parse_ticket(DOCUMENT, "17.yaml")
-    assert not references_check(parsed, Directory(customers=["club-b"]))
-    lacking = replace(parsed, set=replace(parsed.set, customers=(), services=()))
-    paths = {finding.path for finding in references_check(lacking, Directory())}
+    assert not references_check(parsed, DirectoryStub(customers=["club-b"]))
+    incomplete = replace(parsed, set=replace(parsed.set, customers=(), services=()))
+    paths = {finding.path for finding in references_check(incomplete, DirectoryStub())}
     assert paths == {
         f"keys.{DIGEST}",
         "routes./katalog/",
@@ -167,8 +166,8 @@
     }
 
 
-def test_a_key_never_moves_and_a_routed_service_stays() -> None:
-    directory = Directory(["club-a", "club-b"], ["katalog"])
+def test_a_key_is_never_rebound_and_a_routed_service_stays() -> None:
+    directory = DirectoryStub(["club-a", "club-b"], ["katalog"])
     directory.keys[KeyDigest(bytes.fromhex(DIGEST))] = CustomerId("club-b")
     directory.routes["katalog"] = ["/k/"]
     parsed = parse_ticket(
@@ -181,7 +180,7 @@
 
 
 class LastWriterState:
-    """Baseline: apply whatever comes, as the latest word."""
+    """Baseline: apply every ticket as it arrives."""
 
     def __init__(self) -> None:
         self.state = 0
@@ -191,12 +190,12 @@
 
 
 def reverts(orders: list[int]) -> bool:
-    naive, before = LastWriterState(), 0
+    baseline, before = LastWriterState(), 0
     for number in orders:
-        naive.offer(number)
-        if naive.state < before:
+        baseline.offer(number)
+        if baseline.state < before:
             return True
-        before = naive.state
+        before = baseline.state
     return False
 
 
@@ -212,8 +211,8 @@
 def test_tickets_are_never_skipped_reordered_or_reverted(
     events: list[tuple[str, int]],
 ) -> None:
-    """Gossip arrives late, a snapshot is older than what a node has, a read of the
-    table is repeated. A node that took the latest word would bring back a withdrawn
+    """Gossip is delayed, a snapshot is older than the node's state, or a table read is
+    repeated. A node that applied whatever arrives last would reactivate a withdrawn
     key."""
     log, state = TicketLog(), 0
     for kind, number in events:
@@ -226,7 +225,7 @@
             state = state if installed is None else number
             ready = installed or []
         else:
-            log.saw_head(TicketNumber(number))
+            log.record_head(TicketNumber(number))
             ready = []
         for one in ready:
             assert one.number == state + 1
@@ -238,14 +237,13 @@
     assert log.applied == log.head_seen
 
 
-def test_the_latest_word_reverts() -> None:
+def test_the_last_writer_baseline_reverts() -> None:
     assert reverts([1, 2, 1])
 
 
 def test_other_content_under_a_known_number_is_a_conflict() -> None:
-    """A peer relays a ticket that was written nowhere, because its writer lost the
-    race for the number. Nodes that took it would serve another state than the rest
-    for good."""
+    """A peer relays a ticket that was never stored, because its writer lost the race
+    for the number. Nodes that applied it would permanently serve a different state."""
     log = TicketLog()
     log.offer(ticket(1))
     with pytest.raises(TicketConflictError):
@@ -265,11 +263,11 @@
 
 
 class Table:
-    """Hold one row; a write may land late, after its answer was lost."""
+    """Hold one row; a write may take effect after its response was lost."""
 
     def __init__(self) -> None:
         self.row: bytes | None = None
-        self.late: list[bytes] = []
+        self.delayed_puts: list[bytes] = []
 
     def put(self, content: bytes) -> bool:
         if self.row is None:
@@ -277,10 +275,10 @@
             return True
         return False
 
-    def land(self) -> None:
-        for content in self.late:
+    def deliver_delayed_puts(self) -> None:
+        for content in self.delayed_puts:
             self.put(content)
-        self.late.clear()
+        self.delayed_puts.clear()
 
 
 def drive(submission: Submission, table: Table, faults: list[str]) -> None:
@@ -289,7 +287,7 @@
         if submission.step is SubmissionStep.DONE:
             return
         if fault == "land":
-            table.land()
+            table.deliver_delayed_puts()
         elif fault == "unavailable":
             submission.call_unavailable(0.0)
         elif submission.step is SubmissionStep.READ_BACK:
@@ -298,7 +296,7 @@
             table.put(content)
             submission.call_unknown(0.0)
         elif fault == "lost before":
-            table.late.append(content)
+            table.delayed_puts.append(content)
             submission.call_unknown(0.0)
         elif table.put(content):
             submission.put_applied()
@@ -316,27 +314,27 @@
         submission.row_found(table.row)
 
 
-FAULT = st.sampled_from(["", "lost after", "lost before", "unavailable", "land"])
+FAULTS = st.sampled_from(["", "lost after", "lost before", "unavailable", "land"])
 
 
 @settings(max_examples=400, derandomize=True)
-@given(st.lists(FAULT, max_size=10), st.lists(FAULT, max_size=10), st.booleans())
+@given(st.lists(FAULTS, max_size=10), st.lists(FAULTS, max_size=10), st.booleans())
 @example(["lost before", "", "unavailable"] + ["unavailable"] * 4, ["land"], False)
-def test_racing_operators_hear_what_the_table_holds(
+def test_racing_operators_get_the_outcome_the_table_holds(
     first: list[str], second: list[str], same: bool
 ) -> None:
-    """Two operators name the same number, and answers are lost before or after the
-    write. One who hears a false conflict, or a false success, works on with a state
+    """Two operators submit the same number, and responses are lost before or after the
+    write. After a false conflict or a false success, an operator continues from a state
     that the fleet does not have."""
     table = Table()
-    rivals = [
+    submissions = [
         Submission(ticket(1), 1e9),
         Submission(ticket(1, 1.0 if same else 2.0), 1e9),
     ]
-    for submission, faults in zip(rivals, [first, second], strict=True):
+    for submission, faults in zip(submissions, [first, second], strict=True):
         drive(submission, table, faults)
-    table.land()
-    for submission in rivals:
+    table.deliver_delayed_puts()
+    for submission in submissions:
         content = content_hash(submission.ticket)
         if submission.outcome is SubmissionOutcome.ACCEPTED:
             assert table.row == content
@@ -344,20 +342,20 @@
             assert table.row not in (None, content)
         elif submission.outcome is SubmissionOutcome.NOT_WRITTEN:
             assert table.row != content or same
-        again = Submission(submission.ticket, 1e9)
-        drive(again, table, [])
+        resubmission = Submission(submission.ticket, 1e9)
+        drive(resubmission, table, [])
         if submission.outcome is SubmissionOutcome.ACCEPTED:
-            assert again.outcome is SubmissionOutcome.ACCEPTED
+            assert resubmission.outcome is SubmissionOutcome.ACCEPTED
 
 
-def test_a_gap_is_refused_and_the_deadline_ends_the_tries() -> None:
+def test_a_gap_is_refused_and_the_deadline_ends_retries() -> None:
     submission = Submission(ticket(5), 100.0)
     assert submission.step is SubmissionStep.READ_PREDECESSOR
     submission.predecessor_read(False)
     assert submission.outcome is SubmissionOutcome.GAP
-    late = Submission(ticket(1), 100.0)
-    late.call_unavailable(150.0)
-    assert late.outcome is SubmissionOutcome.NOT_WRITTEN
+    expired = Submission(ticket(1), 100.0)
+    expired.call_unavailable(150.0)
+    assert expired.outcome is SubmissionOutcome.NOT_WRITTEN
 
 
 def test_in_force_waits_for_every_member_that_may_serve() -> None:
