--- a/src/crocusspindle/core/operation_entries.py
+++ b/src/crocusspindle/core/operation_entries.py
@@ -1,4 +1,4 @@
-"""Hold the records of keyed operations in bounded memory."""
+"""Store records of keyed operations in bounded memory."""
 
 from dataclasses import dataclass, field, replace
 from enum import Enum
@@ -17,19 +17,19 @@
 )
 from crocusspindle.ids import MemberId, ViewNumber
 
-MAX_DEAD: Final = 16
-"""Attempts of one key remembered as never run; forgetting one only refuses more."""
+MAX_CANCELLED: Final = 16
+"""Cancelled attempts kept per key. Dropping one is safe: it only causes refusals."""
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerLimits:
-    """Hold the bounds of the records.
+    """Bound the age, number and size of records.
 
     ``retention_ms`` is how long a key may be repeated after it first began.
-    ``margin_ms`` covers rights that lapse a little after a view change and drift of
-    clocks. ``dispatch_ms`` bounds how old a grant may be when it is used.
-    ``settle_ms`` is how long an attempt counts as in progress: the longest service
-    timeout that is usual, and a hop. At 300 bytes a record 100,000 take 30 MB.
+    ``margin_ms`` covers clock drift and authority that expires shortly after a view
+    change. ``dispatch_ms`` is the maximum age of a grant when it is used.
+    ``settle_ms`` is how long an attempt counts as in progress: the longest typical
+    service timeout plus one hop. 100,000 records of 300 bytes take 30 MB.
     """
 
     retention_ms: float = 3_600_000.0
@@ -43,88 +43,88 @@
     max_row_calls: int = 4
 
 
-class Phase(Enum):
-    """Tell how far this node has come with an attempt."""
+class EntryPhase(Enum):
+    """Name the phase of an attempt on this node."""
 
-    ASKING = "asking the second holder"
-    WRITING = "writing the row"
+    REQUESTING_PEER = "asking the second holder"
+    WRITING_ROW = "writing the row"
     BEGUN = "begun"
     DONE = "done"
     FREE = "free"
 
 
 @dataclass(slots=True)
-class Entry:
-    """Hold one record with what only this node knows of it."""
+class LedgerEntry:
+    """Hold one record and this node's local state for it."""
 
     record: Record
-    phase: Phase
+    phase: EntryPhase
     mode: LedgerMode
     view: ViewNumber
     settle_by_ms: float
     expires_at_ms: float
-    right_until_ms: float = 0.0
+    authority_until_ms: float = 0.0
     dispatch_by_ms: float = 0.0
     row_version: int = 0
     row_calls: int = 0
     row_maybe_written: bool = False
-    row_ours: bool = False
+    row_is_own: bool = False
     unflushed: bool = False
-    rival: Attempt | None = None
-    rival_settle_by_ms: float = 0.0
-    dead: dict[Attempt, None] = field(default_factory=dict)
-
-    def kill(self) -> None:
-        """Mark the attempt as one that never ran and never will."""
-        self.phase = Phase.FREE
-        self.dead[self.record.attempt] = None
-        while len(self.dead) > MAX_DEAD:
-            del self.dead[next(iter(self.dead))]
+    competitor: Attempt | None = None
+    competitor_settle_by_ms: float = 0.0
+    cancelled: dict[Attempt, None] = field(default_factory=dict)
+
+    def cancel(self) -> None:
+        """Mark the attempt as never run and never to run."""
+        self.phase = EntryPhase.FREE
+        self.cancelled[self.record.attempt] = None
+        while len(self.cancelled) > MAX_CANCELLED:
+            del self.cancelled[next(iter(self.cancelled))]
         self.record = with_state(self.record, RecordState.FREE)
 
 
 def with_state(
-    record: Record, state: RecordState, answer: Answer | None = None
+    record: Record, state: RecordState, response: Answer | None = None
 ) -> Record:
-    """Return a record in another state."""
-    return replace(record, state=state, answer=answer)
+    """Return a copy of a record in another state."""
+    return replace(record, state=state, response=response)
 
 
-class Entries:
-    """Keep records by operation, within bounds of number and of answer bytes."""
+class LedgerEntries:
+    """Store records by operation, bounded in number and in response bytes."""
 
     def __init__(self, limits: LedgerLimits) -> None:
         self._limits = limits
-        self._entries: dict[OperationName, Entry] = {}
-        self._answer_bytes = 0
+        self._entries: dict[OperationName, LedgerEntry] = {}
+        self._response_bytes = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     @property
     def full(self) -> bool:
-        """Return True if another record would break the bound.
+        """Return True if another record would exceed the bound.
 
-        The harm of forgetting a begun record is a doubled payment, that of a full
-        ledger a refusal; so nothing is pushed out.
+        Nothing is evicted: losing a begun record can duplicate a payment, while a full
+        ledger only refuses requests.
         """
         return len(self._entries) >= self._limits.max_records
 
-    def get(self, name: OperationName) -> Entry | None:
-        """Return the record, in its window or not."""
+    def get(self, name: OperationName) -> LedgerEntry | None:
+        """Return the record, even after its retention window."""
         return self._entries.get(name)
 
-    def live(self, name: OperationName, now_ms: float) -> Entry | None:
-        """Return the record unless its key's window has ended."""
+    def live(self, name: OperationName, now_ms: float) -> LedgerEntry | None:
+        """Return the record unless its retention window has ended."""
         entry = self._entries.get(name)
         if entry is None or entry.expires_at_ms <= now_ms:
             return None
         return entry
 
-    def own(
-        self, name: OperationName, attempt: Attempt, origin: MemberId, phase: Phase
-    ) -> Entry | None:
-        """Return the record of an attempt granted here, if it is in the phase."""
+    def find_own(
+        self, name: OperationName, attempt: Attempt, origin: MemberId, phase: EntryPhase
+    ) -> LedgerEntry | None:
+        """Return the record of an attempt that began here, if it is in the phase."""
         entry = self._entries.get(name)
         if entry is None or entry.record.attempt != attempt:
             return None
@@ -135,14 +135,14 @@
     def put(
         self,
         record: Record,
-        phase: Phase,
+        phase: EntryPhase,
         mode: LedgerMode,
         view: ViewNumber,
         now_ms: float,
-    ) -> Entry:
-        """Keep a new record in place of a free or replaced one."""
+    ) -> LedgerEntry:
+        """Store a new record in place of a free or replaced one."""
         limits = self._limits
-        entry = Entry(
+        entry = LedgerEntry(
             record,
             phase,
             mode,
@@ -150,61 +150,62 @@
             settle_by_ms=now_ms + limits.settle_ms,
             expires_at_ms=now_ms + limits.retention_ms,
         )
-        former = self._entries.get(record.name)
-        if former is not None:
-            entry.row_version = former.row_version
-            entry.dead = former.dead
-            entry.rival = former.rival
-            entry.rival_settle_by_ms = former.rival_settle_by_ms
+        previous = self._entries.get(record.name)
+        if previous is not None:
+            entry.row_version = previous.row_version
+            entry.cancelled = previous.cancelled
+            entry.competitor = previous.competitor
+            entry.competitor_settle_by_ms = previous.competitor_settle_by_ms
             self._drop(record.name)
         self._entries[record.name] = entry
         return entry
 
-    def take_row(
+    def apply_row(
         self, record: Record, row_version: int, view: ViewNumber, now_ms: float
     ) -> None:
-        """Keep what a row says, unless more is known here.
+        """Store the record of a row unless local state is more recent.
 
-        An attempt that failed here says nothing of those that other holders of the
-        key let run since: their row counts, and without it the key would run again.
+        A free local record does not override the row: other holders may have run a
+        later attempt, and ignoring their row would run the operation again.
         """
-        held = self.live(record.name, now_ms)
-        if held is None and self.full:
+        existing = self.live(record.name, now_ms)
+        if existing is None and self.full:
             return
-        if held is not None and (
-            held.phase is not Phase.FREE or record.attempt in held.dead
+        if existing is not None and (
+            existing.phase is not EntryPhase.FREE
+            or record.attempt in existing.cancelled
         ):
             return
-        entry = self.put(record, Phase.BEGUN, LedgerMode.TABLE, view, now_ms)
+        entry = self.put(record, EntryPhase.BEGUN, LedgerMode.TABLE, view, now_ms)
         entry.row_version = row_version
         if record.state is RecordState.FREE:
-            entry.kill()
-        elif record.answer is not None:
-            self.finish(entry, record.answer)
-
-    def finish(self, entry: Entry, answer: Answer) -> None:
-        """Keep an answer, without its body beyond the bounds."""
-        entry.phase = Phase.DONE
-        body = answer.body
+            entry.cancel()
+        elif record.response is not None:
+            self.finish(entry, record.response)
+
+    def finish(self, entry: LedgerEntry, response: Answer) -> None:
+        """Store a response, without its body if that exceeds the bounds."""
+        entry.phase = EntryPhase.DONE
+        body = response.body
         if body is not None:
-            room = self._limits.max_answer_bytes - self._answer_bytes
+            room = self._limits.max_answer_bytes - self._response_bytes
             if len(body) > min(self._limits.max_body_bytes, room):
-                answer = replace(answer, body=None)
+                response = replace(response, body=None)
             else:
-                self._answer_bytes += len(body)
-        entry.record = with_state(entry.record, RecordState.DONE, answer)
+                self._response_bytes += len(body)
+        entry.record = with_state(entry.record, RecordState.DONE, response)
         entry.unflushed = entry.mode is LedgerMode.PEER
 
     def expire(self, now_ms: float) -> list[Record]:
-        """Drop and return the records whose keys may not be repeated any more."""
-        old = [
+        """Drop and return the records whose retention window has ended."""
+        expired = [
             entry.record
             for entry in self._entries.values()
             if entry.expires_at_ms <= now_ms
         ]
-        for record in old:
+        for record in expired:
             self._drop(record.name)
-        return old
+        return expired
 
     def unflushed(self, view: ViewNumber) -> list[WriteRow]:
         """Return the rows to write for records made under earlier views."""
@@ -214,14 +215,16 @@
             if entry.unflushed and entry.view < view
         ]
 
-    def flushed(self, name: OperationName, version: int, met: bytes | None) -> bool:
-        """Note the row after a flush; return True if it says what the record says."""
+    def record_flush(
+        self, name: OperationName, version: int, found: bytes | None
+    ) -> bool:
+        """Record the row after a flush; return True if it matches the record."""
         entry = self._entries.get(name)
         if entry is None or not entry.unflushed:
             return True
         entry.row_version = version
-        if met is not None:
-            row = decode_record(met)
+        if found is not None:
+            row = decode_record(found)
             same = row.attempt == entry.record.attempt
             entry.unflushed = row.state is not RecordState.DONE and not (
                 same and row.state is entry.record.state
@@ -232,6 +235,6 @@
 
     def _drop(self, name: OperationName) -> None:
         entry = self._entries.pop(name)
-        answer = entry.record.answer
-        if answer is not None and answer.body is not None:
-            self._answer_bytes -= len(answer.body)
+        response = entry.record.response
+        if response is not None and response.body is not None:
+            self._response_bytes -= len(response.body)
--- a/src/crocusspindle/core/operation_records.py
+++ b/src/crocusspindle/core/operation_records.py
@@ -1,4 +1,4 @@
-"""Define the records of keyed operations, their rows and the typed decisions."""
+"""Define records of keyed operations, their table rows and typed decisions."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -15,12 +15,12 @@
 )
 
 TABLE: Final = "operations"
-"""The platform table that holds one row for each operation."""
+"""Platform table with one row for each operation."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperationName:
-    """Name one non-idempotent operation of one customer."""
+    """Identify one non-idempotent operation of one customer."""
 
     customer: CustomerId
     key: OperationKey
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """Name one attempt to run an operation; asked of one ledger node only."""
+    """Identify one attempt to run an operation; requested from one ledger node only."""
 
     owner: MemberId
     number: AttemptId
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold a kept answer; ``body`` is None when it was too long to keep."""
+    """Hold a stored response; ``body`` is None if it was too large to store."""
 
     status: int
     digest: bytes
@@ -50,7 +50,7 @@
 
 
 class RecordState(Enum):
-    """Tell how far an operation is known to have come."""
+    """Name the known progress of an operation."""
 
     BEGUN = "begun"
     DONE = "done"
@@ -58,7 +58,7 @@
 
 
 class LedgerMode(Enum):
-    """Tell what decides whether an operation has begun."""
+    """Name what decides whether an operation has begun."""
 
     TABLE = "table"
     PEER = "peer"
@@ -66,19 +66,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Hold what is known of one operation, as rows and peers carry it."""
+    """Hold what is known of one operation, as stored in rows and sent to peers."""
 
     name: OperationName
     attempt: Attempt
     origin: MemberId
     fingerprint: bytes
     state: RecordState
-    answer: Answer | None = None
+    response: Answer | None = None
 
 
 def encode_record(record: Record) -> bytes:
-    """Encode a record for its row or a peer."""
-    answer = record.answer
+    """Encode a record for its table row or a peer."""
+    response = record.response
     content = [
         record.name.customer,
         record.name.key,
@@ -87,15 +87,16 @@
         record.origin,
         record.fingerprint,
         record.state.value,
-        answer and [answer.status, answer.digest, answer.headers, answer.body],
+        response
+        and [response.status, response.digest, response.headers, response.body],
     ]
     return bytes(msgpack.packb(content))
 
 
 def decode_record(content: bytes) -> Record:
-    """Decode a record; raises ``ValueError`` when the bytes are not one."""
+    """Decode a record; raises ``ValueError`` if the bytes are invalid."""
     try:
-        customer, key, owner, number, origin, fingerprint, state, answer = (
+        customer, key, owner, number, origin, fingerprint, state, response = (
             msgpack.unpackb(content)
         )
         return Record(
@@ -104,26 +105,28 @@
             origin,
             fingerprint,
             RecordState(state),
-            None if answer is None else _answer(*answer),
+            None if response is None else _decode_response(*response),
         )
     except (TypeError, ValueError, msgpack.UnpackException) as error:
         raise ValueError(f"not an operation record: {error!r}") from error
 
 
-def _answer(status: int, digest: bytes, headers: Any, body: bytes | None) -> Answer:
+def _decode_response(
+    status: int, digest: bytes, headers: Any, body: bytes | None
+) -> Answer:
     return Answer(status, digest, tuple((name, text) for name, text in headers), body)
 
 
 @dataclass(frozen=True, slots=True)
 class Right:
-    """Hold how operations may be decided here, and until when."""
+    """Hold the mode in which this node may decide operations, and until when."""
 
     mode: LedgerMode
     until_ms: float
 
 
 class NotRunReason(Enum):
-    """Tell why an attempt was refused that certainly did not run."""
+    """Name why an attempt that certainly did not run was refused."""
 
     UNFIT = "this node may not decide operations now"
     NOT_A_HOLDER = "this node does not hold the operation's record"
@@ -136,7 +139,7 @@
 
 
 class UnknownReason(Enum):
-    """Tell why it cannot be said whether an operation ran."""
+    """Name why it is unknown whether an operation ran."""
 
     ATTEMPT_LOST = "an earlier attempt began and never reported its end"
     RECORDS_LOST = "holders that may have known it are gone"
@@ -145,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskPeer:
-    """Ask the second holder to record the attempt, then call ``peer_result``."""
+    """Request that the second holder record the attempt, then call ``peer_result``."""
 
     peer: MemberId
     view: ViewNumber
@@ -156,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRow:
-    """Put the row on condition of its version, then call ``row_result``."""
+    """Put the row if its version matches, then call ``row_result``."""
 
     row_key: str
     value: bytes
@@ -171,7 +174,7 @@
 
 
 class RowOutcome(Enum):
-    """Tell what a call on a row showed."""
+    """Name the result of a call on a row."""
 
     APPLIED = "put took effect"
     FOUND = "row is there"
@@ -182,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowResult:
-    """Hold the outcome of a call on a row, and the row after it if known."""
+    """Hold the outcome of a call on a row, and the resulting row if known."""
 
     outcome: RowOutcome
     version: int = 0
@@ -191,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """Let the attempt be sent once, if it is sent before the deadline."""
+    """Permit the attempt to be sent once, before ``dispatch_by_ms``."""
 
     attempt: Attempt
     dispatch_by_ms: float
@@ -199,21 +202,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AlreadyRan:
-    """Give the kept answer of the one run."""
+    """Hold the stored response of the only run."""
 
-    answer: Answer
+    response: Answer
 
 
 @dataclass(frozen=True, slots=True)
 class InProgress:
-    """Tell that another attempt is running."""
+    """Report that another attempt is running."""
 
     retry_at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """Tell that the operation may have run, and this attempt did not."""
+    """Report that the operation may have run, but not by this attempt."""
 
     reason: UnknownReason
     retry_at_ms: float
@@ -221,10 +224,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Tell that this attempt certainly did not and will not run.
+    """Report that this attempt certainly did not and will not run.
 
-    ``covers_earlier`` is True if no earlier attempt under the key ran either. A
-    caller that repeats a key must not take the word for the first attempt's.
+    ``covers_earlier`` is True if no earlier attempt under the key ran either. Unless
+    it is, a caller that repeats a key must not conclude that its first attempt did
+    not run.
     """
 
     reason: NotRunReason
@@ -234,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FingerprintMismatch:
-    """Tell that the key names an operation with another request."""
+    """Report that the key belongs to an operation with a different request."""
 
 
 Refusal = AlreadyRan | InProgress | OutcomeUnknown | NotRun | FingerprintMismatch
@@ -242,7 +246,7 @@
 
 
 class PeerVerdict(Enum):
-    """Tell what the second holder did with a record."""
+    """Name what the second holder did with a record."""
 
     RECORDED = "recorded"
     HELD = "held by another attempt"
@@ -253,7 +257,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerReply:
-    """Answer a request to record; ``complete`` covers the whole retention window."""
+    """Reply to a request to record an attempt.
+
+    ``complete`` is True if the peer was a holder for the whole retention window.
+    """
 
     verdict: PeerVerdict
     complete: bool = False
@@ -262,9 +269,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """Hold what to send on after an attempt ended; both are best effort.
+    """Hold the updates to send after an attempt ended; both are best effort.
 
-    A message that is lost leaves the record as begun, which refuses and never runs.
+    If an update is lost, the record stays begun: retries are refused, never run.
     """
 
     peer: MemberId | None
--- a/tests/core/operations_market.py
+++ b/tests/core/operations_market.py
@@ -1,4 +1,4 @@
-"""Play the table, the messages and the target of an order for its ledgers."""
+"""Simulate the table, the messages and the target for operation ledgers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -33,71 +33,73 @@
 
 
 @dataclass
-class Market:
-    """Hold the table's rows, late messages, and what the target really ran."""
+class LedgerSimulation:
+    """Hold table rows, delayed messages, and the runs counted at the target."""
 
     fleet: Fleet
     rows: dict[str, tuple[int, bytes]] = field(default_factory=dict)
     marks: set[tuple[ViewNumber, MemberId]] = field(default_factory=set)
-    late: list[Callable[[], None]] = field(default_factory=list)
-    held: list[Callable[[], None]] = field(default_factory=list)
+    delayed_messages: list[Callable[[], None]] = field(default_factory=list)
+    paused_steps: list[Callable[[], None]] = field(default_factory=list)
     runs: dict[OperationName, int] = field(default_factory=dict)
     granted: dict[Attempt, OperationName] = field(default_factory=dict)
     refused: set[Attempt] = field(default_factory=set)
     attempts: int = 0
 
     def order(
-        self, node: Node, name: OperationName, fates: list[str], prefer_peer: bool
+        self, node: Node, name: OperationName, faults: list[str], prefer_peer: bool
     ) -> Decision | None:
-        """Lead one attempt through its calls; each meets the next fate."""
+        """Run one attempt through its calls, each with the next fault of the list."""
         self.attempts += 1
         attempt = Attempt(node.me.member, AttemptId(self.attempts))
         now_ms = self.fleet.now(node)
         decision = node.ledger.begin(
-            name, attempt, b"print", self.right(node, prefer_peer), now_ms
+            name, attempt, b"print", self.authority(node, prefer_peer), now_ms
         )
-        return self.go_on(node, name, attempt, decision, fates)
+        return self.run_steps(node, name, attempt, decision, faults)
 
-    def right(self, node: Node, prefer_peer: bool) -> Right:
+    def authority(self, node: Node, prefer_peer: bool) -> Right:
         now_ms = self.fleet.now(node)
         node.ledger.note_outages(node.fitness.away_views(now_ms))
         peer = Right(LedgerMode.PEER, node.fitness.peer_until_ms(now_ms))
         table = Right(LedgerMode.TABLE, node.fitness.table_until_ms(now_ms))
-        rights = [peer, table] if prefer_peer else [table, peer]
-        return next((one for one in rights if now_ms < one.until_ms), table)
+        choices = [peer, table] if prefer_peer else [table, peer]
+        return next((choice for choice in choices if now_ms < choice.until_ms), table)
 
-    def go_on(
+    def run_steps(
         self,
         node: Node,
         name: OperationName,
         attempt: Attempt,
         decision: Decision,
-        fates: list[str],
+        faults: list[str],
     ) -> Decision | None:
         while isinstance(decision, AskPeer | WriteRow | ReadRow):
-            fate = fates.pop(0) if fates else "ok"
-            if fate == "pause":
-                self.held.append(self.later(node, name, attempt, decision, fates))
+            fault = faults.pop(0) if faults else "ok"
+            if fault == "pause":
+                self.paused_steps.append(
+                    self.resume_later(node, name, attempt, decision, faults)
+                )
                 return None
-            decision = self.call(node, name, attempt, decision, fate)
-        self.judge(name, attempt, decision)
+            decision = self.call(node, name, attempt, decision, fault)
+        self.check_decision(name, attempt, decision)
         for settled in node.ledger.take_releases():
-            self.send(node, settled, fates[-1] if fates else "ok")
+            self.send(node, settled, faults[-1] if faults else "ok")
         if isinstance(decision, Granted):
-            self.use(node, name, decision, fates.pop(0) if fates else "ok")
+            self.use_grant(node, name, decision, faults.pop(0) if faults else "ok")
         return decision
 
-    def later(
+    def resume_later(
         self,
         node: Node,
         name: OperationName,
         attempt: Attempt,
         decision: Decision,
-        fates: list[str],
+        faults: list[str],
     ) -> Callable[[], None]:
         def resume() -> None:
             if node.awake and node.me.member in self.fleet.nodes:
-                self.go_on(node, name, attempt, decision, fates)
+                self.run_steps(node, name, attempt, decision, faults)
 
         return resume
 
@@ -107,37 +109,40 @@
         name: OperationName,
         attempt: Attempt,
         step: AskPeer | WriteRow | ReadRow,
-        fate: str,
+        fault: str,
     ) -> Decision:
         if isinstance(step, AskPeer):
-            reply = self.ask(node, step, fate)
+            reply = self.request_peer_record(node, step, fault)
             return node.ledger.peer_result(name, attempt, reply, self.fleet.now(node))
-        result = self.touch_row(node, step, fate)
+        result = self.call_row(node, step, fault)
         return node.ledger.row_result(name, attempt, result, self.fleet.now(node))
 
-    def ask(self, node: Node, step: AskPeer, fate: str):  # type: ignore[no-untyped-def]
+    def request_peer_record(self, node: Node, step: AskPeer, fault: str):  # type: ignore[no-untyped-def]
         peer = self.fleet.nodes.get(step.peer)
-        there, back = (node.me.member, step.peer), (step.peer, node.me.member)
-        if peer is None or there in self.fleet.blocked:
+        request_link, reply_link = (
+            (node.me.member, step.peer),
+            (step.peer, node.me.member),
+        )
+        if peer is None or request_link in self.fleet.blocked:
             return None
 
         def arrive():  # type: ignore[no-untyped-def]
             return peer.ledger.record_for_peer(step, self.fleet.now(peer))
 
-        if fate == "late" or not peer.awake:
-            self.late.append(arrive)
+        if fault == "late" or not peer.awake:
+            self.delayed_messages.append(arrive)
             return None
         reply = arrive()
-        return None if fate == "lost" or back in self.fleet.blocked else reply
+        return None if fault == "lost" or reply_link in self.fleet.blocked else reply
 
-    def touch_row(self, node: Node, step: WriteRow | ReadRow, fate: str) -> RowResult:
+    def call_row(self, node: Node, step: WriteRow | ReadRow, fault: str) -> RowResult:
         if node.me.member not in self.fleet.reach:
             return RowResult(RowOutcome.UNAVAILABLE)
         if isinstance(step, WriteRow):
-            if fate == "late":
-                self.late.append(lambda: self.put(step))
-            if fate in ("late", "lost"):
-                applied = fate == "lost" and self.put(step)
+            if fault == "late":
+                self.delayed_messages.append(lambda: self.put(step))
+            if fault in ("late", "lost"):
+                applied = fault == "lost" and self.put(step)
                 return RowResult(RowOutcome.UNKNOWN, int(bool(applied)))
             if self.put(step):
                 return RowResult(RowOutcome.APPLIED, step.expected_version + 1)
@@ -153,7 +158,9 @@
         self.rows[step.row_key] = (version + 1, step.value)
         return True
 
-    def judge(self, name: OperationName, attempt: Attempt, decision: Decision) -> None:
+    def check_decision(
+        self, name: OperationName, attempt: Attempt, decision: Decision
+    ) -> None:
         if isinstance(decision, NotRun | OutcomeUnknown):
             self.refused.add(attempt)
             assert attempt not in self.granted
@@ -166,28 +173,30 @@
             assert attempt not in self.refused
             self.granted[attempt] = name
 
-    def use(self, node: Node, name: OperationName, grant: Granted, fate: str) -> None:
-        if fate == "release":
+    def use_grant(
+        self, node: Node, name: OperationName, grant: Granted, fault: str
+    ) -> None:
+        if fault == "release":
             self.send(node, node.ledger.released(name, grant.attempt), "ok")
             del self.granted[grant.attempt]
-        elif fate == "pause":
-            self.held.append(lambda: self.send_request(node, name, grant, "ok"))
+        elif fault == "pause":
+            self.paused_steps.append(lambda: self.send_request(node, name, grant, "ok"))
         else:
-            self.send_request(node, name, grant, fate)
+            self.send_request(node, name, grant, fault)
 
     def send_request(
-        self, node: Node, name: OperationName, grant: Granted, fate: str
+        self, node: Node, name: OperationName, grant: Granted, fault: str
     ) -> None:
         alive = node.awake and node.me.member in self.fleet.nodes
         if not alive or self.fleet.now(node) >= grant.dispatch_by_ms:
             return
         self.runs[name] = self.runs.get(name, 0) + 1
-        if fate != "late":
+        if fault != "late":
             settled = node.ledger.finished(name, grant.attempt, ANSWER)
-            self.send(node, settled, fate)
+            self.send(node, settled, fault)
 
-    def send(self, node: Node, settled, fate: str) -> None:  # type: ignore[no-untyped-def]
-        if settled is None or fate == "lost":
+    def send(self, node: Node, settled, fault: str) -> None:  # type: ignore[no-untyped-def]
+        if settled is None or fault == "lost":
             return
         peer = self.fleet.nodes.get(settled.peer)
         if (
@@ -224,7 +233,7 @@
             node.ledger.load(decode_record(value), version, now_ms)
         node.ledger.loaded(view.number)
 
-    def tell_marks(self) -> None:
+    def publish_flush_marks(self) -> None:
         for node in self.fleet.awake():
             for view, member in self.marks:
                 node.ledger.places.outage_flushed(view, member)
--- a/tests/core/small_fleet.py
+++ b/tests/core/small_fleet.py
@@ -1,4 +1,4 @@
-"""Wire a few cores to each other and to one table row, in a test's own time."""
+"""Connect a few core nodes to each other and to one table row in simulated time."""
 
 from dataclasses import dataclass, field
 
@@ -39,9 +39,9 @@
 
 @dataclass
 class Fleet:
-    """Hold nodes, blocked directions, and who reaches the platform.
+    """Hold nodes, blocked links by direction, and the members that reach the platform.
 
-    Clocks start anywhere and run up to 2 % fast or slow.
+    Node clocks start at different offsets and run up to 2 % fast or slow.
     """
 
     fitness_type: type[Fitness] = Fitness
@@ -102,16 +102,16 @@
         node.fitness.applied = TicketNumber(node.applied)
 
     def beat(self, node: Node, peer: Node, delay_ms: float = 0.0) -> None:
-        """Let a node send a heartbeat, ``delay_ms`` ago, and the peer answer now."""
-        there = (node.me.member, peer.me.member)
-        if there in self.blocked:
+        """Deliver a heartbeat sent ``delay_ms`` ago, with the peer's reply sent now."""
+        link = (node.me.member, peer.me.member)
+        if link in self.blocked:
             return
         peer.membership.heard(node.me.member, self.now(peer))
         if node.view is not None:
             self.adopt(peer, node.view)
-        if (there[1], there[0]) in self.blocked:
+        if (link[1], link[0]) in self.blocked:
             return
-        asked_ms = self.now(node) - delay_ms
+        sent_ms = self.now(node) - delay_ms
         node.membership.heard(peer.me.member, self.now(node))
         for silent in peer.membership.silent(self.now(peer)):
             node.membership.silent_elsewhere(silent, peer.me.member, self.now(node))
@@ -120,11 +120,11 @@
         age_ms = peer.fitness.stamp_age_ms(self.now(peer))
         self.apply(node, peer.applied)
         if age_ms is not None:
-            node.fitness.relayed(asked_ms, age_ms)
+            node.fitness.relayed(sent_ms, age_ms)
         node.fitness.echo(
             peer.me.member,
             peer.view.number if peer.view else ViewNumber(0),
-            asked_ms,
+            sent_ms,
             applied=peer.applied,
             away=peer.fitness.away(self.now(peer)),
             away_views=peer.fitness.away_views(self.now(peer)),
@@ -162,7 +162,7 @@
         ]
 
     def propose(self, node: Node) -> bool:
-        """Let a node write the next view, on condition that its base still stands."""
+        """Let a node write the next view if its base is still the current one."""
         if node.me.member not in self.reach:
             return False
         proposed = node.membership.propose(
@@ -179,7 +179,7 @@
         return True
 
     def part(self, group: set[MemberId]) -> None:
-        """Cut a group off from the rest in both directions."""
+        """Partition a group from the rest in both directions."""
         for one in self.nodes:
             for other in self.nodes:
                 if (one in group) != (other in group):
@@ -187,7 +187,7 @@
 
 
 def started(count: int, **options: object) -> Fleet:
-    """Return a fleet whose members all know one settled view."""
+    """Return a fleet whose members have converged on one view."""
     fleet = Fleet(**options)  # type: ignore[arg-type]
     for index in range(count):
         fleet.start(f"n{index}", str(index))
--- a/tests/core/test_operations.py
+++ b/tests/core/test_operations.py
@@ -1,4 +1,4 @@
-"""Lead single operations through the orders of events that a search once found."""
+"""Run single operations through event sequences that endanger at-most-once."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import replace
@@ -7,7 +7,7 @@
 import pytest
 
 from crocusspindle.core.fitness import Fitness
-from crocusspindle.core.operation_places import Places, holders
+from crocusspindle.core.operation_places import HolderHistory, holders
 from crocusspindle.core.operation_records import (
     AlreadyRan,
     Attempt,
@@ -28,23 +28,26 @@
 )
 from crocusspindle.core.operations import OperationLedger
 from crocusspindle.ids import AttemptId, CustomerId, MemberId, OperationKey, ViewNumber
-from tests.core.operations_market import ANSWER, DONE, LIMITS, Market
+from tests.core.operations_market import ANSWER, DONE, LIMITS, LedgerSimulation
 from tests.core.small_fleet import Node, started
 
 
-class Scene:
-    """Lead one key through a fixed order of events."""
+class Scenario:
+    """Run the operation of one key through a fixed sequence of events."""
 
-    def __init__(self, later: int = 0, fates: Sequence[str] = ()) -> None:
+    def __init__(self, joining_count: int = 0, faults: Sequence[str] = ()) -> None:
         self.fleet = started(5, ledger_limits=LIMITS)
-        self.market = Market(self.fleet)
-        self.name = self.key_that_moves(later)
-        self.fates = list(fates)
+        self.simulation = LedgerSimulation(self.fleet)
+        self.name = self.key_with_new_holders(joining_count)
+        self.faults = list(faults)
 
-    def key_that_moves(self, later: int) -> OperationName:
-        """Return a key whose two holders are both new once nodes have joined."""
+    def key_with_new_holders(self, joining_count: int) -> OperationName:
+        """Return a key whose two holders are both new after the nodes have joined."""
         before = list(self.fleet.nodes)
-        after = [*before, *(MemberId(f"n{5 + index}") for index in range(later))]
+        after = [
+            *before,
+            *(MemberId(f"n{5 + index}") for index in range(joining_count)),
+        ]
         names = (
             OperationName(CustomerId("club"), OperationKey(str(index)))
             for index in range(10_000)
@@ -52,7 +55,7 @@
         return next(
             name
             for name in names
-            if not later or not set(holders(name, after)) & set(before)
+            if not joining_count or not set(holders(name, after)) & set(before)
         )
 
     def join(self, count: int, writer: Node) -> None:
@@ -65,103 +68,103 @@
         view = self.fleet.views[max(self.fleet.views)]
         return [self.fleet.nodes[one] for one in holders(self.name, view.names)]
 
-    def order(self, node: Node, *fates: str) -> Decision | None:
-        return self.market.order(node, self.name, list(fates), prefer_peer=False)
+    def order(self, node: Node, *faults: str) -> Decision | None:
+        return self.simulation.order(node, self.name, list(faults), prefer_peer=False)
 
     def runs(self) -> int:
-        return self.market.runs.get(self.name, 0)
-
-
-def pair_lost_to_newcomers() -> int:
-    scene = Scene(later=8)
-    scene.fleet.reach.clear()
-    scene.fleet.rounds(6)
-    former = scene.holders()[0]
-    assert isinstance(scene.order(former), Granted)
-    scene.fleet.reach = set(scene.fleet.nodes)
-    scene.fleet.rounds(2)
-    scene.join(8, scene.fleet.awake()[0])
-    scene.fleet.rounds(6)
-    answer = scene.order(scene.holders()[0])
-    if scene.runs() == 1:
-        assert answer is not None
-        assert getattr(answer, "reason", None) is UnknownReason.UNFLUSHED
-        scene.market.flush(former)
-        scene.market.tell_marks()
-        assert scene.order(scene.holders()[0]) == AlreadyRan(ANSWER)
-    return scene.runs()
-
-
-def platform_seen_by_few() -> int:
-    scene = Scene(later=8)
-    cut_off = {node.me.member for node in scene.holders()}
-    others = [node for node in scene.fleet.awake() if node.me.member not in cut_off]
+        return self.simulation.runs.get(self.name, 0)
+
+
+def holder_pair_lost_to_new_members() -> int:
+    scenario = Scenario(joining_count=8)
+    scenario.fleet.reach.clear()
+    scenario.fleet.rounds(6)
+    previous = scenario.holders()[0]
+    assert isinstance(scenario.order(previous), Granted)
+    scenario.fleet.reach = set(scenario.fleet.nodes)
+    scenario.fleet.rounds(2)
+    scenario.join(8, scenario.fleet.awake()[0])
+    scenario.fleet.rounds(6)
+    decision = scenario.order(scenario.holders()[0])
+    if scenario.runs() == 1:
+        assert decision is not None
+        assert getattr(decision, "reason", None) is UnknownReason.UNFLUSHED
+        scenario.simulation.flush(previous)
+        scenario.simulation.publish_flush_marks()
+        assert scenario.order(scenario.holders()[0]) == AlreadyRan(ANSWER)
+    return scenario.runs()
+
+
+def platform_reached_by_few() -> int:
+    scenario = Scenario(joining_count=8)
+    cut_off = {node.me.member for node in scenario.holders()}
+    others = [node for node in scenario.fleet.awake() if node.me.member not in cut_off]
     cut_off.add(others[0].me.member)
-    scene.fleet.part(cut_off)
-    scene.fleet.reach -= cut_off
-    scene.fleet.rounds(6)
-    former = scene.holders()[0]
-    assert isinstance(scene.order(former), Granted)
+    scenario.fleet.part(cut_off)
+    scenario.fleet.reach -= cut_off
+    scenario.fleet.rounds(6)
+    previous = scenario.holders()[0]
+    assert isinstance(scenario.order(previous), Granted)
     writer = others[1]
-    scene.join(8, writer)
-    scene.fleet.part(cut_off)
-    scene.fleet.rounds(6)
-    scene.order(scene.holders()[0])
-    return scene.runs()
-
-
-def home_killed_before_its_answer() -> int:
-    scene = Scene()
-    scene.fleet.reach.clear()
-    scene.fleet.rounds(6)
-    first, second = scene.holders()
-    assert isinstance(scene.order(first, "ok", "late"), Granted)
-    scene.fleet.kill(first)
-    scene.order(second)
-    return scene.runs()
-
-
-def answer_lost_after_the_write() -> int:
-    scene = Scene(later=8)
-    first = scene.holders()[0]
-    assert isinstance(scene.order(first, "ok", "lost"), Granted)
-    scene.join(8, first)
-    scene.fleet.rounds(6)
-    newcomers = scene.holders()
-    for node in (*newcomers, *newcomers):
-        assert scene.order(node) == AlreadyRan(ANSWER) or scene.runs() == 2
-    row = scene.market.rows.get(scene.name.row_key)
-    assert scene.runs() == 2 or (row and decode_record(row[1]).state is DONE)
-    return scene.runs()
+    scenario.join(8, writer)
+    scenario.fleet.part(cut_off)
+    scenario.fleet.rounds(6)
+    scenario.order(scenario.holders()[0])
+    return scenario.runs()
+
+
+def holder_killed_before_its_response() -> int:
+    scenario = Scenario()
+    scenario.fleet.reach.clear()
+    scenario.fleet.rounds(6)
+    first, second = scenario.holders()
+    assert isinstance(scenario.order(first, "ok", "late"), Granted)
+    scenario.fleet.kill(first)
+    scenario.order(second)
+    return scenario.runs()
+
+
+def response_lost_after_the_write() -> int:
+    scenario = Scenario(joining_count=8)
+    first = scenario.holders()[0]
+    assert isinstance(scenario.order(first, "ok", "lost"), Granted)
+    scenario.join(8, first)
+    scenario.fleet.rounds(6)
+    new_holders = scenario.holders()
+    for node in (*new_holders, *new_holders):
+        assert scenario.order(node) == AlreadyRan(ANSWER) or scenario.runs() == 2
+    row = scenario.simulation.rows.get(scenario.name.row_key)
+    assert scenario.runs() == 2 or (row and decode_record(row[1]).state is DONE)
+    return scenario.runs()
 
 
 def freed_here_and_run_elsewhere() -> int:
-    """Let an attempt fail at two holders, and the next run at two newcomers."""
-    scene = Scene(later=8)
-    former = scene.holders()
-    for node in former:
-        scene.order(node, "lost", "ok")
-        scene.order(node, "lost", "ok")
-    scene.join(8, former[0])
-    scene.fleet.rounds(8)
-    assert isinstance(scene.order(scene.holders()[0]), Granted)
+    """Fail an attempt at two holders, then run the next at two new holders."""
+    scenario = Scenario(joining_count=8)
+    previous = scenario.holders()
+    for node in previous:
+        scenario.order(node, "lost", "ok")
+        scenario.order(node, "lost", "ok")
+    scenario.join(8, previous[0])
+    scenario.fleet.rounds(8)
+    assert isinstance(scenario.order(scenario.holders()[0]), Granted)
     for index in range(5, 13):
-        leaving = scene.fleet.nodes[MemberId(f"n{index}")]
-        for node in scene.fleet.awake():
+        leaving = scenario.fleet.nodes[MemberId(f"n{index}")]
+        for node in scenario.fleet.awake():
             node.membership.leaves(leaving.me.member)
-        scene.fleet.kill(leaving)
-    assert scene.fleet.propose(scene.fleet.awake()[0])
-    scene.fleet.rounds(8)
-    for node in scene.fleet.awake():
-        scene.market.load(node)
-    scene.fleet.reach.clear()
-    scene.fleet.rounds(6)
-    scene.order(scene.holders()[0])
-    return scene.runs()
-
-
-def known_keys_are_not_loaded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Baseline: a key that memory knows in any state is not taken from its row."""
+        scenario.fleet.kill(leaving)
+    assert scenario.fleet.propose(scenario.fleet.awake()[0])
+    scenario.fleet.rounds(8)
+    for node in scenario.fleet.awake():
+        scenario.simulation.load(node)
+    scenario.fleet.reach.clear()
+    scenario.fleet.rounds(6)
+    scenario.order(scenario.holders()[0])
+    return scenario.runs()
+
+
+def rows_of_known_keys_are_skipped(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Baseline: the row of a key is ignored if memory has any record of it."""
     load = OperationLedger.load
 
     def skip(ledger: OperationLedger, record: Record, *rest: Any) -> None:
@@ -171,23 +174,23 @@
     monkeypatch.setattr(OperationLedger, "load", skip)
 
 
-def memory_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Baseline: the node that is asked remembers, and nobody else."""
-    monkeypatch.setattr(Places, "second", lambda *_: None)
+def no_second_holder(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Baseline: only the node that gets the request keeps a record."""
+    monkeypatch.setattr(HolderHistory, "second_holder", lambda *_: None)
 
 
-def any_row_is_the_whole_truth(monkeypatch: pytest.MonkeyPatch) -> None:
+def absent_row_means_not_begun(monkeypatch: pytest.MonkeyPatch) -> None:
     """Baseline: an absent row means that the operation has not begun."""
-    monkeypatch.setattr(Places, "unflushed", lambda *_: False)
+    monkeypatch.setattr(HolderHistory, "unflushed", lambda *_: False)
 
 
-def stamp_is_enough(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Baseline: whoever reaches the platform decides by its table."""
+def freshness_is_enough(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Baseline: every node that reaches the platform decides by its table."""
     monkeypatch.setattr(Fitness, "table_until_ms", lambda f, _: f.stamp_until_ms())
 
 
-def memory_decides_always(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Baseline: two memories decide, and no row is written before the run."""
+def holders_decide_without_row(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Baseline: the two holders decide, and no row is written before the run."""
     monkeypatch.setattr(
         OperationLedger,
         "_recorded",
@@ -196,68 +199,70 @@
 
 
 @pytest.mark.parametrize(
-    ("scene", "baseline"),
+    ("scenario", "baseline"),
     [
-        (pair_lost_to_newcomers, any_row_is_the_whole_truth),
-        (platform_seen_by_few, stamp_is_enough),
-        (home_killed_before_its_answer, memory_alone),
-        (answer_lost_after_the_write, memory_decides_always),
-        (freed_here_and_run_elsewhere, known_keys_are_not_loaded),
+        (holder_pair_lost_to_new_members, absent_row_means_not_begun),
+        (platform_reached_by_few, freshness_is_enough),
+        (holder_killed_before_its_response, no_second_holder),
+        (response_lost_after_the_write, holders_decide_without_row),
+        (freed_here_and_run_elsewhere, rows_of_known_keys_are_skipped),
     ],
 )
 def test_an_order_runs_once_where_the_baseline_runs_it_twice(
-    scene: Callable[[], int],
+    scenario: Callable[[], int],
     baseline: Callable[[pytest.MonkeyPatch], None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A caretaker's page repeats an order, after the platform came back under new
-    nodes, or while only some see the platform, or after the node that sent it died,
-    or after the table's answer was lost, or at holders that tried in vain before. Two
-    crews come, and the ward pays twice."""
-    assert scene() == 1
+    """A caller retries an order and pays twice: after the platform came back with new
+    holders, while only some nodes reach the platform, after the sending node crashed,
+    after the table's response was lost, or at holders where an attempt failed."""
+    assert scenario() == 1
     baseline(monkeypatch)
-    assert scene() == 2
-
-
-def test_a_survivor_says_not_run_only_for_what_it_would_know() -> None:
-    """While the platform is away one of the two holders dies. The other must not
-    run a key alone, and must not call a key of the dead one's time unused."""
-    scene = Scene()
-    scene.fleet.reach.clear()
-    scene.fleet.rounds(6)
-    first, second = scene.holders()
-    scene.fleet.kill(first)
-    answer = scene.order(second)
-    assert isinstance(answer, NotRun)
-    assert answer.covers_earlier
-    young = Places(second.me.member, window_ms=1_000.0)
+    assert scenario() == 2
+
+
+def test_a_surviving_holder_reports_not_run_only_within_its_records() -> None:
+    """One of the two holders crashes while the platform is unreachable. The other must
+    not run an operation alone, nor report a key as unused that the crashed holder may
+    have run before its own records begin."""
+    scenario = Scenario()
+    scenario.fleet.reach.clear()
+    scenario.fleet.rounds(6)
+    first, second = scenario.holders()
+    scenario.fleet.kill(first)
+    decision = scenario.order(second)
+    assert isinstance(decision, NotRun)
+    assert decision.covers_earlier
+    new_member = HolderHistory(second.me.member, window_ms=1_000.0)
     assert second.view is not None
-    later = replace(second.view, number=ViewNumber(9))
-    young.adopt(later, 0.0)
-    assert not young.complete(scene.name, 999.0)
-    assert young.complete(scene.name, 1_000.0)
+    later_view = replace(second.view, number=ViewNumber(9))
+    new_member.adopt(later_view, 0.0)
+    assert not new_member.covers_window(scenario.name, 999.0)
+    assert new_member.covers_window(scenario.name, 1_000.0)
 
 
-def test_a_paused_owner_does_not_send_late_and_a_full_ledger_forgets_nothing() -> None:
-    """A host stops between the grant and the sending of a payment, and runs on an
-    hour later, when the key may have been given up."""
+def test_a_paused_owner_cannot_dispatch_late_and_a_full_ledger_evicts_nothing() -> None:
+    """A process pauses between the grant and the dispatch of a payment and resumes an
+    hour later, when the key's record may have expired."""
     limits = replace(LIMITS, max_records=1)
     fleet = started(1, ledger_limits=limits)
     node = fleet.awake()[0]
-    right = Right(LedgerMode.TABLE, fleet.now(node) + 1_000.0)
+    authority = Right(LedgerMode.TABLE, fleet.now(node) + 1_000.0)
     names = [OperationName(CustomerId("club"), OperationKey(key)) for key in "ab"]
     attempt = Attempt(node.me.member, AttemptId(1))
     now_ms = fleet.now(node)
     ledger = node.ledger
-    assert isinstance(ledger.begin(names[0], attempt, b"f", right, now_ms), WriteRow)
+    assert isinstance(
+        ledger.begin(names[0], attempt, b"f", authority, now_ms), WriteRow
+    )
     result = RowResult(RowOutcome.APPLIED, 1)
     assert isinstance(ledger.row_result(names[0], attempt, result, now_ms), Granted)
     assert ledger.may_dispatch(names[0], attempt, now_ms)
     assert not ledger.may_dispatch(names[0], attempt, now_ms + 3_600_000.0)
-    full = ledger.begin(names[1], attempt, b"f", right, now_ms)
+    full = ledger.begin(names[1], attempt, b"f", authority, now_ms)
     assert isinstance(full, NotRun)
     assert full.reason is NotRunReason.FULL
-    other = ledger.begin(names[0], attempt, b"other", right, now_ms)
+    other = ledger.begin(names[0], attempt, b"other", authority, now_ms)
     assert other == FingerprintMismatch()
     assert len(ledger.expire(now_ms + limits.retention_ms)) == 1
     assert len(ledger) == 0
--- a/tests/core/test_operations_machine.py
+++ b/tests/core/test_operations_machine.py
@@ -1,4 +1,4 @@
-"""Search for orders of events after which an operation runs twice."""
+"""Search for event sequences after which an operation runs twice."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -9,10 +9,10 @@
     OperationName,
 )
 from crocusspindle.ids import CustomerId, OperationKey
-from tests.core.operations_market import KEY_EPOCH_MS, LIMITS, Market
+from tests.core.operations_market import KEY_EPOCH_MS, LIMITS, LedgerSimulation
 from tests.core.small_fleet import Node, started
 
-FATES = st.lists(
+FAULTS = st.lists(
     st.sampled_from(["ok", "ok", "lost", "late", "pause", "release"]), max_size=4
 )
 
@@ -21,19 +21,19 @@
 
 
 class OperationMachine(RuleBasedStateMachine):
-    """Search for orders of events after which an operation runs twice."""
+    """Search for event sequences after which an operation runs twice."""
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet = started(4, ledger_limits=LIMITS)
-        self.market = Market(self.fleet)
-        self.starts = 4
+        self.simulation = LedgerSimulation(self.fleet)
+        self.started_count = 4
 
     def pick(self, index: int) -> Node:
         nodes = list(self.fleet.nodes.values())
         return nodes[index % len(nodes)]
 
-    def go_on(self, rounds: int) -> None:
+    def run_rounds(self, rounds: int) -> None:
         for _ in range(rounds):
             self.fleet.round()
             any(self.fleet.propose(node) for node in self.fleet.awake())
@@ -42,22 +42,24 @@
         key=st.integers(0, 5),
         second=st.booleans(),
         stale=st.booleans(),
-        fates=FATES,
+        faults=FAULTS,
         prefer_peer=st.booleans(),
     )
     def order(
-        self, key: int, second: bool, stale: bool, fates: list[str], prefer_peer: bool
+        self, key: int, second: bool, stale: bool, faults: list[str], prefer_peer: bool
     ) -> None:
-        """Ask a holder by the newest view, or by one of the views still in use."""
+        """Send a request to a holder under the newest or the oldest view in use."""
         epoch = int(self.fleet.t_ms // KEY_EPOCH_MS)
         name = OperationName(CustomerId("club"), OperationKey(f"{key}.{epoch}"))
         views = sorted({one.view.number for one in self.fleet.awake() if one.view})
         if not views:
             return
-        known = self.fleet.views[views[0 if stale else -1]]
-        node = self.fleet.nodes.get(holders(name, known.names)[-1 if second else 0])
+        newest_or_oldest = self.fleet.views[views[0 if stale else -1]]
+        node = self.fleet.nodes.get(
+            holders(name, newest_or_oldest.names)[-1 if second else 0]
+        )
         if node is not None and node.awake:
-            self.market.order(node, name, list(fates), prefer_peer)
+            self.simulation.order(node, name, list(faults), prefer_peer)
 
     @rule(
         index=st.integers(0, 9),
@@ -74,27 +76,29 @@
         if kind in ("crash", "leave", "restart") and len(self.fleet.nodes) > 2:
             self.fleet.kill(old)
         if kind in ("join", "restart"):
-            address = old.me.peer_address if kind == "restart" else str(self.starts)
-            node = self.fleet.start(f"n{self.starts}", address)
-            self.starts += 1
+            address = (
+                old.me.peer_address if kind == "restart" else str(self.started_count)
+            )
+            node = self.fleet.start(f"n{self.started_count}", address)
+            self.started_count += 1
             for peer in self.fleet.awake():
                 peer.membership.asks_to_join(node.me)
-        self.go_on(rounds)
+        self.run_rounds(rounds)
 
     @rule(rounds=ROUNDS)
     def platform_for_all(self, rounds: int) -> None:
         self.fleet.reach = set(self.fleet.nodes)
-        self.go_on(rounds)
+        self.run_rounds(rounds)
 
     @rule(reach=st.sets(st.integers(0, 7), max_size=2), rounds=st.just(6) | ROUNDS)
     def platform_for_few(self, reach: set[int], rounds: int) -> None:
         self.fleet.reach = {self.pick(index).me.member for index in reach}
-        self.go_on(rounds)
+        self.run_rounds(rounds)
 
     @rule(rounds=st.just(6) | ROUNDS)
     def platform_for_nobody(self, rounds: int) -> None:
         self.fleet.reach.clear()
-        self.go_on(rounds)
+        self.run_rounds(rounds)
 
     @rule(group=st.sets(st.integers(0, 7), max_size=3), one_way=st.booleans())
     def cut(self, group: set[int], one_way: bool) -> None:
@@ -107,39 +111,43 @@
 
     @rule(rounds=ROUNDS)
     def pass_time(self, rounds: int) -> None:
-        self.go_on(rounds)
+        self.run_rounds(rounds)
 
     @rule(index=st.integers(0, 9), rounds=ROUNDS)
     def stop_or_wake(self, index: int, rounds: int) -> None:
         node = self.pick(index)
         node.awake = not node.awake
-        self.go_on(rounds)
+        self.run_rounds(rounds)
 
     @rule(index=st.integers(0, 9))
     def a_late_message_arrives(self, index: int) -> None:
-        if self.market.late:
-            self.market.late.pop(index % len(self.market.late))()
+        if self.simulation.delayed_messages:
+            self.simulation.delayed_messages.pop(
+                index % len(self.simulation.delayed_messages)
+            )()
 
     @rule(index=st.integers(0, 9))
     def a_paused_step_goes_on(self, index: int) -> None:
-        if self.market.held:
-            self.market.held.pop(index % len(self.market.held))()
+        if self.simulation.paused_steps:
+            self.simulation.paused_steps.pop(
+                index % len(self.simulation.paused_steps)
+            )()
 
     @rule(index=st.none() | st.integers(0, 9))
     def flush(self, index: int | None) -> None:
         nodes = self.fleet.awake() if index is None else [self.pick(index)]
         for node in nodes:
-            self.market.flush(node)
-        self.market.tell_marks()
+            self.simulation.flush(node)
+        self.simulation.publish_flush_marks()
 
     @rule()
     def load(self) -> None:
         for node in self.fleet.awake():
-            self.market.load(node)
+            self.simulation.load(node)
 
     @invariant()
     def nothing_ran_twice(self) -> None:
-        assert all(count == 1 for count in self.market.runs.values())
+        assert all(count == 1 for count in self.simulation.runs.values())
 
 
 TestOperations = OperationMachine.TestCase
