--- a/src/crocusspindle/core/directory.py
+++ b/src/crocusspindle/core/directory.py
@@ -1,7 +1,7 @@
-"""Keep customers, keys, approvals, routes and services compactly.
+"""Store customers, keys, approvals, routes and services compactly.
 
-Made for 520,000 customers with as many keys in a process that may use 128 MB in all.
-All lookups are made per request; changes come at most a few thousand a day.
+Sized for 520,000 customers with as many keys in a process limited to 128 MB in total.
+Lookups run for every request; there are at most a few thousand changes a day.
 """
 
 import hashlib
@@ -30,13 +30,13 @@
 from crocusspindle.ids import CustomerId, KeyDigest, ServiceId
 
 DIGEST_BYTES: Final = 32
-PLACE_BYTES: Final = 4
+BUCKET_HASH_BYTES: Final = 4
 WITHDRAWN: Final = 0x8000_0000
-"""Marks the customer's row in the record of a withdrawn key."""
+"""Flag in the customer row of a withdrawn key's record."""
 
 NUMBER_BYTES: Final = 2
 MAX_NUMBERS: Final = 1 << 8 * NUMBER_BYTES
-"""Services, and owners who approve, that have ever been named in approvals."""
+"""Limit on the services, and on the approvers, ever named in approvals."""
 
 MAX_BURST: Final = 0xFFFF_FFFF
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Remove:
-    """Remove one item, told by its identifying fields."""
+    """Remove one item, identified by its key fields."""
 
     item: Item
 
@@ -61,20 +61,21 @@
 
 
 def number_bytes(number: int) -> bytes:
-    """Return the number of a service or owner as stored in records."""
+    """Encode the number of a service or approver for records."""
     return number.to_bytes(NUMBER_BYTES, "little")
 
 
 def digest_of(key: str) -> KeyDigest:
-    """Return the digest by which a key is known.
+    """Return the digest that identifies an API key.
 
-    A header may carry bytes that are no UTF-8; they make an unknown key, no error.
+    A header may contain bytes that are not UTF-8; these give an unknown key, not an
+    error.
     """
     return KeyDigest(hashlib.sha256(key.encode("utf-8", "surrogateescape")).digest())
 
 
 class Directory:
-    """Answer who calls, whether it is approved, and where it leads."""
+    """Look up customers by key, their approvals, and routes by path."""
 
     def __init__(self) -> None:
         self.customer_table = CustomerTable()
@@ -92,8 +93,8 @@
     def apply(self, changes: Sequence[Change]) -> None:
         """Apply all changes of one ticket, or none.
 
-        Raises `TicketError` with every finding. Nothing else runs between the
-        changes, so no request sees a part of them.
+        Raises `TicketError` with all findings. Nothing else runs between the changes,
+        so no request sees only some of them.
         """
         findings = self.check(changes)
         if findings:
@@ -105,7 +106,7 @@
                 self.remove(change.item)
 
     def check(self, changes: Sequence[Change]) -> list[Finding]:
-        """Return what keeps the changes from being applied in their order."""
+        """Return the findings that prevent applying the changes in order."""
         findings: list[Finding] = []
         known: dict[tuple[type[Item], str], bool] = {}
         for number, change in enumerate(changes):
@@ -113,7 +114,7 @@
             if isinstance(change, Put):
                 findings += [
                     Finding("ticket", f"changes[{number}]", message)
-                    for message in self._faults(item, known)
+                    for message in self._violations(item, known)
                 ]
             if isinstance(item, Customer):
                 known[Customer, item.customer] = isinstance(change, Put)
@@ -121,28 +122,28 @@
                 known[Service, item.service] = isinstance(change, Put)
         return findings
 
-    def _faults(
+    def _violations(
         self, item: Item, known: dict[tuple[type[Item], str], bool]
     ) -> Iterator[str]:
         if isinstance(item, Customer):
             size = len(item.customer.encode())
             if not 0 < size <= MAX_ID_BYTES:
-                yield f"a customer's id takes 1 to {MAX_ID_BYTES} bytes, not {size}"
+                yield f"customer id must have 1 to {MAX_ID_BYTES} bytes, not {size}"
             if not 0 <= item.burst <= MAX_BURST:
-                yield f"burst {item.burst} is outside 0 to {MAX_BURST}"
+                yield f"burst {item.burst} is not between 0 and {MAX_BURST}"
         if isinstance(item, CustomerKey) and len(item.digest) != DIGEST_BYTES:
-            yield f"a key's digest takes {DIGEST_BYTES} bytes"
+            yield f"key digest must have {DIGEST_BYTES} bytes"
         if isinstance(item, CustomerKey | Approval):
-            there = self.customer_table.row(item.customer) is not None
-            if not known.get((Customer, item.customer), there):
+            exists = self.customer_table.row(item.customer) is not None
+            if not known.get((Customer, item.customer), exists):
                 yield f"customer {item.customer!r} is not known"
         if isinstance(item, Approval):
             for names in (self.service_names, self.approver_names):
                 if len(names) >= MAX_NUMBERS:
-                    yield f"more than {MAX_NUMBERS} services or owners were named"
+                    yield f"more than {MAX_NUMBERS} services or approvers were named"
         if isinstance(item, Approval | Route):
-            there = item.service in self.service_table
-            if not known.get((Service, item.service), there):
+            exists = item.service in self.service_table
+            if not known.get((Service, item.service), exists):
                 yield f"service {item.service!r} is not known"
 
     def put(self, item: Item) -> None:
@@ -174,23 +175,23 @@
                 self.remove_service(item.service)
 
     def put_customer(self, customer: Customer) -> Customer | None:
-        """Set a customer and return its former settings."""
+        """Set a customer and return its previous settings."""
         self._require(customer)
-        former = self.customer(customer.customer)
+        previous = self.customer(customer.customer)
         self.customer_table.put(customer)
-        return former
+        return previous
 
     def remove_customer(self, customer: CustomerId) -> Customer | None:
-        """Remove a customer with its keys and approvals; return what it was."""
+        """Remove a customer, its keys and approvals; return its previous settings."""
         row = self.customer_table.row(customer)
         if row is None:
             return None
-        former = self.customer_table.at(row)
+        previous = self.customer_table.at(row)
         self._remove_keys_of(row)
         for record in list(self.approval_table.matches(row, row_bytes(row))):
             self.approval_table.remove(row, record[:-NUMBER_BYTES])
         self.customer_table.remove(customer)
-        return former
+        return previous
 
     def _remove_keys_of(self, row: int) -> None:
         active = row_bytes(row)
@@ -199,7 +200,7 @@
         def is_owned(record: bytes) -> bool:
             return record[DIGEST_BYTES:] in owners
 
-        # The mark is in the last byte: one search finds both.
+        # The WITHDRAWN flag is in the last byte: one search finds both.
         self.key_table.remove_where(is_owned, active[:-1])
 
     def put_key(self, key: CustomerKey) -> None:
@@ -208,14 +209,14 @@
         row = self._row(key.customer)
         if key.state is KeyState.WITHDRAWN:
             row |= WITHDRAWN
-        self.key_table.put(self._place(key.digest), key.digest, row_bytes(row))
+        self.key_table.put(self._bucket_hash(key.digest), key.digest, row_bytes(row))
 
     def remove_key(self, digest: KeyDigest) -> bool:
-        """Forget a key and return True if it was known."""
-        return self.key_table.remove(self._place(digest), digest)
+        """Remove a key and return True if it was present."""
+        return self.key_table.remove(self._bucket_hash(digest), digest)
 
     def put_approval(self, approval: Approval) -> None:
-        """Let a customer call a service."""
+        """Allow a customer to call a service."""
         self._require(approval)
         row = self._row(approval.customer)
         service = self._number(
@@ -228,7 +229,7 @@
         self.approval_table.put(row, key, number_bytes(approver))
 
     def remove_approval(self, service: ServiceId, customer: CustomerId) -> bool:
-        """Withdraw an approval and return True if it was there."""
+        """Remove an approval and return True if it was present."""
         row = self.customer_table.row(customer)
         number = self._service_numbers.get(service)
         if row is None or number is None:
@@ -236,34 +237,35 @@
         return self.approval_table.remove(row, row_bytes(row) + number_bytes(number))
 
     def put_route(self, route: Route) -> None:
-        """Lead a prefix to a service."""
+        """Route a path prefix to a service."""
         self._require(route)
         self.route_table.put(route)
 
     def remove_route(self, prefix: str) -> bool:
-        """Remove a route and return True if it was there."""
+        """Remove a route and return True if it was present."""
         return self.route_table.remove(prefix)
 
     def put_service(self, service: Service) -> None:
-        """Set a service."""
+        """Set a service's settings."""
         self.service_table[service.service] = service
 
     def remove_service(self, service: ServiceId) -> bool:
-        """Remove a service with its approvals; its routes then lead nowhere."""
+        """Remove a service and its approvals; its routes then match nothing."""
         number = self._service_numbers.get(service)
         if number is not None:
-            held = number_bytes(number)
+            encoded_number = number_bytes(number)
             self.approval_table.remove_where(
-                lambda record: record[ROW_BYTES:-NUMBER_BYTES] == held, held
+                lambda record: record[ROW_BYTES:-NUMBER_BYTES] == encoded_number,
+                encoded_number,
             )
         return self.service_table.pop(service, None) is not None
 
     # Lookups.
 
     def authenticate(self, key: str) -> CustomerId | None:
-        """Return the customer of a key that is known and not withdrawn."""
+        """Return the customer of an active key, or None."""
         digest = digest_of(key)
-        for record in self.key_table.matches(self._place(digest), digest):
+        for record in self.key_table.matches(self._bucket_hash(digest), digest):
             if not hmac.compare_digest(record[:DIGEST_BYTES], digest):
                 continue
             row = int.from_bytes(record[DIGEST_BYTES:], "little")
@@ -271,8 +273,8 @@
         return None
 
     def key(self, digest: KeyDigest) -> CustomerKey | None:
-        """Return what is known of a key."""
-        value = self.key_table.get(self._place(digest), digest)
+        """Return the owner and state of a key, or None if it is unknown."""
+        value = self.key_table.get(self._bucket_hash(digest), digest)
         if value is None:
             return None
         row = int.from_bytes(value, "little")
@@ -281,12 +283,12 @@
         return CustomerKey(digest, owner, state)
 
     def customer(self, customer: CustomerId) -> Customer | None:
-        """Return a customer's settings."""
+        """Return a customer's settings, or None if it is unknown."""
         row = self.customer_table.row(customer)
         return None if row is None else self.customer_table.at(row)
 
     def approved(self, service: ServiceId, customer: CustomerId) -> bool:
-        """Return True if the service's owner lets the customer call it."""
+        """Return True if the service's owner approved the customer."""
         row = self.customer_table.row(customer)
         number = self._service_numbers.get(service)
         if row is None or number is None or service not in self.service_table:
@@ -295,26 +297,26 @@
         return self.approval_table.get(row, key) is not None
 
     def route(self, path: str) -> Route | None:
-        """Return the route of a path, if it leads to a known service."""
+        """Return the route of a path if its service is known."""
         route = self.route_table.find(path)
         if route is None or route.service not in self.service_table:
             return None
         return route
 
     def service(self, service: ServiceId) -> Service | None:
-        """Return a service's settings."""
+        """Return a service's settings, or None if it is unknown."""
         return self.service_table.get(service)
 
     def customers(self) -> Iterator[Customer]:
-        """Return all customers; the directory must not change meanwhile."""
+        """Iterate over customers; the directory must not change meanwhile."""
         return iter(self.customer_table)
 
     def services(self) -> Iterator[Service]:
-        """Return all services."""
+        """Iterate over services."""
         return iter(self.service_table.values())
 
     def counts(self) -> dict[str, int]:
-        """Return how many items of each kind are held."""
+        """Return the number of items of each kind."""
         return {
             "customers": len(self.customer_table),
             "keys": len(self.key_table),
@@ -323,15 +325,15 @@
             "services": len(self.service_table),
         }
 
-    def name_services(self, names: list[str], approvers: list[str]) -> None:
-        """Restore the numbers that approvals use."""
+    def restore_names(self, names: list[str], approvers: list[str]) -> None:
+        """Restore the service and approver numbers used in approvals."""
         self.service_names = names
         self.approver_names = approvers
         self._service_numbers = {name: at for at, name in enumerate(names)}
         self._approver_numbers = {name: at for at, name in enumerate(approvers)}
 
     def _require(self, item: Item) -> None:
-        messages = list(self._faults(item, {}))
+        messages = list(self._violations(item, {}))
         if messages:
             raise TicketError([Finding("ticket", "item", text) for text in messages])
 
@@ -341,8 +343,8 @@
         return row
 
     @staticmethod
-    def _place(digest: bytes) -> int:
-        return int.from_bytes(digest[:PLACE_BYTES], "little")
+    def _bucket_hash(digest: bytes) -> int:
+        return int.from_bytes(digest[:BUCKET_HASH_BYTES], "little")
 
     @staticmethod
     def _number(name: str, names: list[str], numbers: dict[str, int]) -> int:
--- a/src/crocusspindle/core/reference.py
+++ b/src/crocusspindle/core/reference.py
@@ -1,4 +1,4 @@
-"""Learn what healthy work is from a group's own targets."""
+"""Estimate a group's healthy failure rate and latencies from its own targets."""
 
 from collections.abc import Iterable
 from math import exp, log
@@ -9,15 +9,16 @@
 from crocusspindle.core.target_record import TargetRecord
 
 FALSE_ALARMS_FACTOR = 0.6
-"""False alarms per sample of all tests at 0 nats, by ``benchmarks.health``.
+"""False alarms of all tests per sample at a threshold of 0 nats.
 
-Each nat of threshold divides them by e.
+Each nat of threshold divides the rate by e.
 """
 
 DAY_MS = 86_400_000.0
 
-MOST_FAILURE_RATE = 0.9
-"""Where nearly all fails everywhere, no target can be told from another."""
+MAX_FAILURE_RATE = 0.9
+"""Upper bound of the learned rate: if nearly all requests fail everywhere, targets
+cannot be distinguished."""
 
 
 class GroupReference:
@@ -25,19 +26,19 @@
 
     def __init__(self, settings: HealthSettings) -> None:
         self._settings = settings
-        self._works = 0.0
-        self._learnt_ms = 0.0
+        self._sample_count = 0.0
+        self._observed_ms = 0.0
         self._failures = 0.0
-        self._learnt_at_ms: float | None = None
+        self._learned_at_ms: float | None = None
         self._latency = LatencyReference(
             settings.most_threshold_nats / 2.0, settings.reference_ms
         )
-        self.reference = self._make()
+        self.reference = self._build_reference()
 
-    def _make(self) -> Reference:
+    def _build_reference(self) -> Reference:
         settings = self._settings
-        rate = self._failures / self._works if self._works else 0.0
-        rate = min(MOST_FAILURE_RATE, max(settings.least_failure_rate, rate))
+        rate = self._failures / self._sample_count if self._sample_count else 0.0
+        rate = min(MAX_FAILURE_RATE, max(settings.least_failure_rate, rate))
         return Reference(
             threshold_nats=self._threshold_nats(),
             healthy_rate=rate,
@@ -47,33 +48,36 @@
         )
 
     def _threshold_nats(self) -> float:
-        """Return the evidence that allows the stated false ejections a day.
+        """Return the evidence threshold for ``false_ejections_per_day``.
 
-        A busy group looks more often than an idle one, and is wrong as much more
-        often at the same threshold; an idle one must not wait for evidence that its
-        few requests cannot give.
+        A busy group tests more often than an idle one, so the same threshold gives
+        proportionally more false alarms. An idle group must not wait for evidence that
+        its few requests cannot provide.
         """
         settings = self._settings
-        if not self._works:
+        if not self._sample_count:
             return settings.most_threshold_nats
-        works_per_day = self._works / self._learnt_ms * DAY_MS
-        looks = FALSE_ALARMS_FACTOR * works_per_day / settings.false_ejections_per_day
-        nats = log(max(looks, 1.0))
+        samples_per_day = self._sample_count / self._observed_ms * DAY_MS
+        false_alarm_ratio = (
+            FALSE_ALARMS_FACTOR * samples_per_day / settings.false_ejections_per_day
+        )
+        nats = log(max(false_alarm_ratio, 1.0))
         bounded_nats = max(settings.least_threshold_nats, nats)
         return min(settings.most_threshold_nats, bounded_nats)
 
     def refresh(self, records: Iterable[TargetRecord], now_ms: float) -> None:
-        """Learn from the work since the last refresh, if that is due.
+        """Learn from the requests since the last refresh, if a refresh is due.
 
-        A bad target must not teach the group that failing is usual; but once most
-        targets look bad, what is usual has changed, as with a shared dependency.
+        Suspicious targets are excluded, so a failing target does not raise the group's
+        typical failure rate. Once most targets are suspicious, typical behaviour itself
+        has changed, for example by a shared dependency, and all of them count.
         """
-        if self._learnt_at_ms is None:
-            self._learnt_at_ms = now_ms
-        elapsed_ms = now_ms - self._learnt_at_ms
+        if self._learned_at_ms is None:
+            self._learned_at_ms = now_ms
+        elapsed_ms = now_ms - self._learned_at_ms
         if elapsed_ms < self._settings.refresh_ms:
             return
-        self._learnt_at_ms = now_ms
+        self._learned_at_ms = now_ms
         serving = [
             record.evidence
             for record in records
@@ -87,13 +91,15 @@
             evidence.fresh_works = 0
             evidence.fresh_failures = 0
 
-    def _learn(self, teachers: list[TargetEvidence], elapsed_ms: float) -> None:
-        keep = exp(-elapsed_ms / self._settings.reference_ms)
-        self._works = self._works * keep + sum(t.fresh_works for t in teachers)
-        self._learnt_ms = self._learnt_ms * keep + elapsed_ms
-        self._failures *= keep
-        self._failures += sum(t.fresh_failures for t in teachers)
-        columns = zip(*(t.fresh_latencies for t in teachers), strict=True)
+    def _learn(self, sources: list[TargetEvidence], elapsed_ms: float) -> None:
+        decay = exp(-elapsed_ms / self._settings.reference_ms)
+        self._sample_count = self._sample_count * decay + sum(
+            source.fresh_works for source in sources
+        )
+        self._observed_ms = self._observed_ms * decay + elapsed_ms
+        self._failures *= decay
+        self._failures += sum(source.fresh_failures for source in sources)
+        columns = zip(*(source.fresh_latencies for source in sources), strict=True)
         fresh = [sum(column) for column in columns] or [0] * (BUCKETS + 1)
         self._latency.learn(fresh, elapsed_ms)
-        self.reference = self._make()
+        self.reference = self._build_reference()
--- a/tests/core/test_directory.py
+++ b/tests/core/test_directory.py
@@ -88,10 +88,9 @@
     assert directory.counts()["keys"] == len(keys)
 
 
-def test_the_keys_of_a_removed_customer_lead_to_nobody():
-    # An operator removes a customer, and a new customer gets its place in memory.
-    # A key of the removed one that still led to that place would let its former
-    # caller act, and be billed, as the new customer.
+def test_keys_of_a_removed_customer_authenticate_nobody():
+    # A new customer gets the row of a removed one. A key that still pointed to that
+    # row would let the removed caller act, and be billed, as the new customer.
     directory = Directory()
     directory.put_customer(CLUB)
     directory.put_key(key_of(CLUB, "old"))
@@ -102,7 +101,7 @@
     assert directory.counts()["keys"] == 0
 
 
-def test_a_withdrawn_key_is_known_and_gives_nobody():
+def test_a_withdrawn_key_is_known_but_authenticates_nobody():
     directory = Directory()
     directory.put_customer(CLUB)
     withdrawn = key_of(CLUB, "leaked", KeyState.WITHDRAWN)
@@ -112,9 +111,9 @@
     assert directory.key(withdrawn.digest) == withdrawn
 
 
-def test_a_ticket_with_one_fault_changes_nothing():
-    # A ticket names a customer that does not exist in its last line. Were the first
-    # lines in force, nodes would differ by where they stopped.
+def test_a_ticket_with_one_invalid_change_changes_nothing():
+    # The last change of a ticket refers to an unknown customer. If the earlier changes
+    # stayed applied, nodes would hold different states.
     directory = Directory()
     stray = Customer(CustomerId("stray"), 1.0, 1)
     changes = [Put(CLUB), Put(key_of(CLUB, "a")), Put(key_of(stray, "b"))]
@@ -138,7 +137,7 @@
         ("/katalog/bowls/" + "/" * 10_000, "/katalog/bowls"),
     ],
 )
-def test_the_longest_prefix_of_whole_segments_leads(path, prefix):
+def test_the_longest_prefix_of_whole_segments_matches(path, prefix):
     directory = Directory()
     directory.put_service(KATALOG)
     for each in ("/", "/katalog", "/katalog/bowls"):
@@ -165,12 +164,12 @@
 
 
 def test_a_damaged_dump_is_refused():
-    # A snapshot is cut short or a bit of it turns on the way. Loaded as it is, keys
-    # would be missing or lead to the wrong customer.
+    # A snapshot is truncated or a bit of it flips in transit. If it were loaded, keys
+    # would be missing or belong to the wrong customer.
     content = directory_dump.dump(filled(50))
     for at in range(0, len(content), len(content) // 97):
-        turned = bytearray(content)
-        turned[at] ^= 1
-        for damaged in (content[:at], bytes(turned)):
+        flipped = bytearray(content)
+        flipped[at] ^= 1
+        for damaged in (content[:at], bytes(flipped)):
             with pytest.raises(directory_dump.DumpError):
                 directory_dump.load(damaged)
