--- a/src/crocusspindle/core/operation_records.py
+++ b/src/crocusspindle/core/operation_records.py
@@ -128,7 +128,7 @@
 class NotRunReason(Enum):
     """Name why an attempt that certainly did not run was refused."""
 
-    UNFIT = "this node may not decide operations now"
+    INELIGIBLE = "this node may not decide operations now"
     NOT_A_HOLDER = "this node does not hold the operation's record"
     PEER_SILENT = "the second holder of the record does not answer"
     VIEW_CHANGING = "the holders disagree on the member view"
--- a/src/crocusspindle/core/operations.py
+++ b/src/crocusspindle/core/operations.py
@@ -296,7 +296,7 @@
         now_ms: float,
     ) -> NotRunReason | None:
         if now_ms >= authority.until_ms:
-            return NotRunReason.UNFIT
+            return NotRunReason.INELIGIBLE
         if entry is not None and attempt in entry.cancelled:
             return NotRunReason.TOO_LATE
         if entry is None and self._entries.full:
