--- a/src/crocusspindle/core/members.py
+++ b/src/crocusspindle/core/members.py
@@ -1,8 +1,8 @@
-"""Decide on the member view: who belongs to the fleet, by numbered agreement.
+"""Agree on the member view: a numbered list of the fleet's members.
 
-The view is one row of the platform's table, written on condition of its version.
-Peers only give evidence. Views change with restarts (20,000 a day at 5,400 nodes,
-one every 4 s); changes are batched, so the table sees well under a write a second.
+The view is one row of the platform's table, updated by conditional writes. Peers only
+provide evidence. Views change with restarts (20,000 a day at 5,400 nodes, one every
+4 s); changes are batched, so the table gets well below one write per second.
 """
 
 from collections.abc import Collection, Mapping
@@ -14,14 +14,14 @@
 
 from crocusspindle.ids import DomainId, MemberId, ViewNumber
 
-MAX_FORMERS: Final = 16
-"""Unconfirmed former views that a view may carry. Without a bound, a fleet that
+MAX_PREVIOUS_VIEWS: Final = 16
+"""Unconfirmed previous views that a view may carry. Without a bound, a fleet that
 restarts as a whole would store all its member lists in one row."""
 
 
 @dataclass(frozen=True, slots=True)
 class ViewMember:
-    """Describe one member: where it is and where callers and peers reach it."""
+    """Describe one member: its location and its addresses for callers and peers."""
 
     member: MemberId
     domain: DomainId
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """Record that members acted without the platform under a frozen view."""
+    """Record a platform outage during which members acted under an unchanged view."""
 
     view: ViewNumber
     ended_unix_ms: int
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Former:
+class PreviousView:
     """Hold the members of an earlier view."""
 
     view: ViewNumber
@@ -52,45 +52,48 @@
 class MemberView:
     """Hold one agreed list of members.
 
-    ``formers`` are the views before it which may still have a majority that does
-    not know of this one. ``gone`` names members of those lists
-    that have certainly stopped: they said so, or a later start has their address.
+    ``formers`` are the previous views that may still have a majority that does not know
+    this one. ``gone`` are members of those views that have certainly stopped: they
+    announced it, or a process started later uses their address.
     """
 
     number: ViewNumber
     members: tuple[ViewMember, ...]
-    formers: tuple[Former, ...] = ()
+    formers: tuple[PreviousView, ...] = ()
     gone: frozenset[MemberId] = frozenset()
     outages: tuple[Outage, ...] = ()
 
     @property
     def names(self) -> tuple[MemberId, ...]:
-        """Return the members' names in the order of the view."""
+        """Return the members' ids in the order of the view."""
         return tuple(member.member for member in self.members)
 
     @property
     def majority(self) -> int:
-        """Return how many members make a majority."""
+        """Return the number of members that form a majority."""
         return majority(len(self.members))
 
     @property
     def outage_ended_unix_ms(self) -> int | None:
-        """Return when the last recorded outage ended, None without one."""
+        """Return when the last recorded outage ended, or None."""
         return max((outage.ended_unix_ms for outage in self.outages), default=None)
 
     @property
     def oldest_former(self) -> ViewNumber:
-        """Return the oldest view that members may still act by.
+        """Return the oldest view by which members may still act.
 
-        Outages under older ones were known to whoever wrote this view, and stand in
-        it as long as they matter.
+        Outages under older views were known to the writer of this view, which contains
+        them as long as they matter.
         """
-        numbers = (former.view for former in self.formers)
+        numbers = (previous.view for previous in self.formers)
         return min(numbers, default=self.number)
 
     def find(self, member: MemberId) -> ViewMember | None:
-        """Return a member by its name, or None."""
-        return next((one for one in self.members if one.member == member), None)
+        """Return a member by its id, or None."""
+        return next(
+            (candidate for candidate in self.members if candidate.member == member),
+            None,
+        )
 
 
 def majority(size: int) -> int:
@@ -100,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewDelta:
-    """Hold what changes from one view to a later one."""
+    """Hold the changes from one view to a later one."""
 
     base: ViewNumber
     number: ViewNumber
@@ -108,15 +111,15 @@
     left: tuple[MemberId, ...]
 
 
-def diff(former: MemberView, latter: MemberView) -> ViewDelta:
+def diff(earlier: MemberView, later: MemberView) -> ViewDelta:
     """Return the members that joined and left between two views."""
-    before = set(former.members)
-    after = set(latter.names)
+    before = set(earlier.members)
+    after = set(later.names)
     return ViewDelta(
-        former.number,
-        latter.number,
-        tuple(member for member in latter.members if member not in before),
-        tuple(name for name in former.names if name not in after),
+        earlier.number,
+        later.number,
+        tuple(member for member in later.members if member not in before),
+        tuple(name for name in earlier.names if name not in after),
     )
 
 
@@ -135,7 +138,7 @@
             ]
             for member in view.members
         ],
-        "formers": [[former.view, former.members] for former in view.formers],
+        "formers": [[previous.view, previous.members] for previous in view.formers],
         "gone": sorted(view.gone),
         "outages": [
             [outage.view, outage.ended_unix_ms, outage.members]
@@ -146,13 +149,15 @@
 
 
 def decode_view(content: bytes) -> MemberView:
-    """Decode a view; raises ``ValueError`` when the bytes are not one."""
+    """Decode a view; raise ``ValueError`` if the bytes are not a valid view."""
     try:
         raw: Mapping[str, Any] = msgpack.unpackb(content)
         return MemberView(
             ViewNumber(raw["number"]),
             tuple(ViewMember(*fields) for fields in raw["members"]),
-            tuple(Former(view, tuple(members)) for view, members in raw["formers"]),
+            tuple(
+                PreviousView(view, tuple(members)) for view, members in raw["formers"]
+            ),
             frozenset(raw["gone"]),
             tuple(
                 Outage(view, ended, tuple(members))
@@ -167,9 +172,9 @@
 class MembershipLimits:
     """Hold the times of the member view.
 
-    ``silence_ms`` must exceed an ordinary pause (a collection, a busy host) and the
-    freshness time, so that whoever is removed has been unfit by rule 1 before.
-    ``outage_kept_ms`` is the retention of operation keys and a margin.
+    ``silence_ms`` must exceed an ordinary pause (garbage collection, a busy host) and
+    the freshness limit, so that a removed member has been ineligible by rule 1 before.
+    ``outage_kept_ms`` is the retention of operation keys plus a margin.
     """
 
     silence_ms: float = 10_000.0
@@ -183,7 +188,7 @@
 
 
 class ProposalBar(Enum):
-    """Tell why a node proposes no view."""
+    """Name the reason why a node proposes no view."""
 
     UNFIT = "unfit"
     NOTHING_TO_CHANGE = "nothing to change"
@@ -193,10 +198,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """Hold what a node knows of itself when it proposes a view.
+    """Hold the state of a node that proposes a view.
 
-    ``fit`` is rule 1 (a fresh stamp), ``in_majority`` two-way contact with a
-    majority of the current view, ``confirmed`` what ``Fitness.majority_at`` says.
+    ``eligible`` means rule 1 (a fresh timestamp), ``in_majority`` two-way contact with
+    a majority of the current view, ``confirmed`` the result of
+    ``Eligibility.confirmed``.
     """
 
     fit: bool
@@ -205,110 +211,113 @@
 
 
 @dataclass(slots=True)
-class _Evidence:
-    heard_ms: float
+class _LivenessEvidence:
+    last_received_ms: float
     witnesses: dict[MemberId, float] = field(default_factory=dict)
 
 
 class Membership:
-    """Collect evidence on members and propose the next view.
+    """Collect evidence about members and propose the next view.
 
-    Faults: a node that crashed stays in the view and keeps its part of every
-    hash order; a node that is cut one way hears nobody and takes all others for
-    dead. So a silent member goes only when a node in another failure domain agrees,
-    and only by the word of a node that a majority can hear and be heard by.
+    A crashed node stays in the view and keeps its place in every hash order. A node
+    that receives nothing because one direction of its link fails would consider all
+    others failed. So a silent member is removed only if a node in another failure
+    domain confirms the silence, and only by a proposer in two-way contact with a
+    majority.
     """
 
-    def __init__(self, me: ViewMember, limits: MembershipLimits | None = None) -> None:
-        self.me = me
+    def __init__(
+        self, own_member: ViewMember, limits: MembershipLimits | None = None
+    ) -> None:
+        self.own_member = own_member
         self.view: MemberView | None = None
         self._limits = limits or MembershipLimits()
-        self._evidence: dict[MemberId, _Evidence] = {}
+        self._evidence: dict[MemberId, _LivenessEvidence] = {}
         self._joining: dict[MemberId, ViewMember] = {}
         self._leaving: set[MemberId] = set()
-        self._adopted_ms = 0.0
+        self._adopted_at_ms = 0.0
 
     def adopt(self, view: MemberView, now_ms: float) -> ViewDelta | None:
-        """Adopt a view unless it is older than or the same as the present one."""
+        """Adopt a view if it is newer than the present one, else return None."""
         if self.view is not None and view.number <= self.view.number:
             return None
         base = self.view or MemberView(ViewNumber(0), ())
         self.view = view
-        self._adopted_ms = now_ms
+        self._adopted_at_ms = now_ms
         names = set(view.names)
         kept = {name: seen for name, seen in self._evidence.items() if name in names}
         self._evidence = kept
         for name in names:
-            self._evidence.setdefault(name, _Evidence(now_ms))
+            self._evidence.setdefault(name, _LivenessEvidence(now_ms))
         self._leaving &= names
         for name in names:
             self._joining.pop(name, None)
         return diff(base, view)
 
     def heard(self, member: MemberId, at_ms: float) -> None:
-        """Note a message from a member; it ends every suspicion."""
+        """Record a message from a member, which clears all reports of its silence."""
         evidence = self._evidence.get(member)
-        if evidence is None or at_ms < evidence.heard_ms:
+        if evidence is None or at_ms < evidence.last_received_ms:
             return
-        evidence.heard_ms = at_ms
+        evidence.last_received_ms = at_ms
         evidence.witnesses.clear()
 
     def silent_elsewhere(
         self, member: MemberId, witness: MemberId, at_ms: float
     ) -> None:
-        """Note that another node reports a member silent for ``silence_ms``."""
+        """Record another node's report that a member is silent for ``silence_ms``."""
         evidence = self._evidence.get(member)
         if evidence is not None and witness != member:
             evidence.witnesses[witness] = at_ms
 
     def asks_to_join(self, member: ViewMember) -> None:
-        """Note that a new start asks to be put into the view."""
+        """Record that a newly started node requests to join the view."""
         if self.view is None or self.view.find(member.member) is None:
             self._joining[member.member] = member
 
     def leaves(self, member: MemberId) -> None:
-        """Note a member's own word that it takes no new work and stops."""
+        """Record a member's announcement that it takes no new work and stops."""
         self._leaving.add(member)
 
     def silent(self, now_ms: float) -> tuple[MemberId, ...]:
-        """Return the members that this node has not heard, to tell others."""
+        """Return the members that are silent here, to be reported to other nodes."""
         limit_ms = now_ms - self._limits.silence_ms
         return tuple(
             name
             for name, evidence in self._evidence.items()
-            if name != self.me.member and evidence.heard_ms <= limit_ms
+            if name != self.own_member.member and evidence.last_received_ms <= limit_ms
         )
 
     def propose(
         self,
-        standing: Standing,
+        state: Standing,
         now_ms: float,
         now_unix_ms: int,
         outages: Collection[Outage] = (),
     ) -> MemberView | ProposalBar:
-        """Return the next view to write on condition, or why there is none.
+        """Return the next view for a conditional write, or why there is none.
 
-        A join, or a leave by the member's own word, needs only a fresh stamp: no
-        majority can be formed against those who know it. Taking out silent members
-        needs a two-way majority and a confirmed view, else two halves of a cut
-        could throw each other out.
+        A join, or a leave announced by the member, needs only a fresh timestamp: no
+        majority can form without members that know it. Removing silent members needs
+        two-way contact with a majority and a confirmed view, or the two sides of a
+        network partition could remove each other.
         """
-        if not standing.fit:
+        if not state.fit:
             return ProposalBar.UNFIT
         current = self.view or MemberView(ViewNumber(0), ())
-        joining = self._to_join(current)
-        gone = self._gone(current, joining)
+        joining = self._members_to_join(current)
+        gone = self._stopped(current, joining)
         removed = set(gone)
-        if standing.in_majority and standing.confirmed:
-            removed |= self._dead(current, now_ms)
-        if not joining and not removed and not self._news(current, outages):
+        if state.in_majority and state.confirmed:
+            removed |= self._confirmed_silent(current, now_ms)
+        if not joining and not removed and not self._has_new_outages(current, outages):
             return ProposalBar.NOTHING_TO_CHANGE
-        if now_ms < self._adopted_ms + self._limits.batch_ms and self.view:
+        if now_ms < self._adopted_at_ms + self._limits.batch_ms and self.view:
             return ProposalBar.BATCHING
-        formers = self._formers(current, standing.confirmed)
-        if len(formers) > MAX_FORMERS:
+        formers = self._previous_views(current, state.confirmed)
+        if len(formers) > MAX_PREVIOUS_VIEWS:
             return ProposalBar.UNCONFIRMED
-        carried = frozenset[MemberId]() if standing.confirmed else current.gone
+        carried = frozenset[MemberId]() if state.confirmed else current.gone
         return MemberView(
             ViewNumber(current.number + 1),
             self._members(current, joining, removed),
@@ -317,69 +326,94 @@
             self._outages(current, outages, now_unix_ms),
         )
 
-    def _to_join(self, current: MemberView) -> list[ViewMember]:
+    def _members_to_join(self, current: MemberView) -> list[ViewMember]:
         present = set(current.names)
         candidates = {**self._joining}
-        if self.me.member not in self._leaving:
-            candidates[self.me.member] = self.me
-        return [one for name, one in candidates.items() if name not in present]
+        if self.own_member.member not in self._leaving:
+            candidates[self.own_member.member] = self.own_member
+        return [
+            candidate for name, candidate in candidates.items() if name not in present
+        ]
 
-    def _gone(
+    def _stopped(
         self, current: MemberView, joining: list[ViewMember]
     ) -> frozenset[MemberId]:
-        # One process owns an address: a later start there proves that the former
-        # one is dead. Without this, a power cut that takes a majority down would
-        # leave a view that nobody may change.
-        taken = {member.peer_address for member in joining}
-        succeeded = {
-            member.member for member in current.members if member.peer_address in taken
+        # A process owns its address, so a later start there proves that the previous
+        # one stopped. Else the view could not change after a majority loses power.
+        reused_addresses = {member.peer_address for member in joining}
+        replaced = {
+            member.member
+            for member in current.members
+            if member.peer_address in reused_addresses
         }
-        return frozenset(succeeded | (self._leaving & set(current.names)))
+        return frozenset(replaced | (self._leaving & set(current.names)))
 
-    def _dead(self, current: MemberView, now_ms: float) -> set[MemberId]:
+    def _confirmed_silent(self, current: MemberView, now_ms: float) -> set[MemberId]:
         domains = {member.member: member.domain for member in current.members}
-        several = len(set(domains.values())) > 1
-        since_ms = now_ms - self._limits.witness_ms
-        dead: set[MemberId] = set()
+        multiple_domains = len(set(domains.values())) > 1
+        witness_since_ms = now_ms - self._limits.witness_ms
+        silent_members: set[MemberId] = set()
         for name in self.silent(now_ms):
             witnesses = {
                 witness
                 for witness, at_ms in self._evidence[name].witnesses.items()
-                if at_ms > since_ms and witness in domains
+                if at_ms > witness_since_ms and witness in domains
             }
             if any(
-                not several or domains[witness] != self.me.domain
+                not multiple_domains or domains[witness] != self.own_member.domain
                 for witness in witnesses
-                if witness != self.me.member
+                if witness != self.own_member.member
             ):
-                dead.add(name)
-        # More than a minority at once would leave no majority of the present view
-        # to confirm the next one; the rest goes with the view after it.
+                silent_members.add(name)
+        # Removing more than a minority would leave no majority of this view to
+        # confirm the next one; the next view removes the rest.
         limit = len(current.members) - current.majority
-        return set(sorted(dead)[:limit])
+        return set(sorted(silent_members)[:limit])
 
-    def _formers(self, current: MemberView, confirmed: bool) -> tuple[Former, ...]:
+    def _previous_views(
+        self, current: MemberView, confirmed: bool
+    ) -> tuple[PreviousView, ...]:
         if not current.members:
             return ()
         carried = () if confirmed else current.formers
-        return (*carried, Former(current.number, current.names))
+        return (*carried, PreviousView(current.number, current.names))
 
     def _members(
         self, current: MemberView, joining: list[ViewMember], removed: set[MemberId]
     ) -> tuple[ViewMember, ...]:
-        kept = [one for one in current.members if one.member not in removed]
-        return tuple(sorted([*kept, *joining], key=lambda one: one.member))
+        kept = [
+            view_member
+            for view_member in current.members
+            if view_member.member not in removed
+        ]
+        return tuple(
+            sorted([*kept, *joining], key=lambda view_member: view_member.member)
+        )
 
-    def _news(self, current: MemberView, outages: Collection[Outage]) -> bool:
+    def _has_new_outages(
+        self, current: MemberView, outages: Collection[Outage]
+    ) -> bool:
         known = {outage.view for outage in current.outages}
-        late = (one for one in outages if one.view >= current.oldest_former)
-        return any(outage.view not in known for outage in late)
+        relevant = (
+            candidate
+            for candidate in outages
+            if candidate.view >= current.oldest_former
+        )
+        return any(outage.view not in known for outage in relevant)
 
     def _outages(
         self, current: MemberView, outages: Collection[Outage], now_unix_ms: int
     ) -> tuple[Outage, ...]:
-        since = now_unix_ms - self._limits.outage_kept_ms
-        late = [one for one in outages if one.view >= current.oldest_former]
-        merged = {outage.view: outage for outage in (*late, *current.outages)}
-        kept = (one for one in merged.values() if one.ended_unix_ms > since)
+        kept_since_unix_ms = now_unix_ms - self._limits.outage_kept_ms
+        relevant = [
+            candidate
+            for candidate in outages
+            if candidate.view >= current.oldest_former
+        ]
+        merged = {outage.view: outage for outage in (*relevant, *current.outages)}
+        kept = (
+            candidate
+            for candidate in merged.values()
+            if candidate.ended_unix_ms > kept_since_unix_ms
+        )
         return tuple(sorted(kept, key=lambda outage: outage.view))
--- a/tests/core/test_fitness.py
+++ b/tests/core/test_fitness.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from crocusspindle.core.fitness import Fitness, FitnessLimits, FitnessReason
-from crocusspindle.core.members import Former, MemberView, ViewMember
+from crocusspindle.core.members import MemberView, PreviousView, ViewMember
 from crocusspindle.ids import DomainId, MemberId, TicketNumber, ViewNumber
 from tests.core.small_fleet import Fleet, Node, started
 
@@ -21,107 +21,111 @@
     return MemberView(ViewNumber(number), members)
 
 
-def fitness(names: str = "abcde") -> Fitness:
-    core = Fitness(MemberId("a"))
-    core.adopt(view(1, names), 0.0)
-    return core
+def make_eligibility(names: str = "abcde") -> Fitness:
+    eligibility = Fitness(MemberId("a"))
+    eligibility.adopt(view(1, names), 0.0)
+    return eligibility
 
 
-def echoes(core: Fitness, names: Iterable[str], at_ms: float, number: int = 1) -> None:
+def record_echoes(
+    eligibility: Fitness, names: Iterable[str], at_ms: float, number: int = 1
+) -> None:
     for name in names:
-        core.echo(MemberId(name), ViewNumber(number), at_ms)
+        eligibility.echo(MemberId(name), ViewNumber(number), at_ms)
 
 
-def test_a_stamp_counts_from_the_begin_of_its_read() -> None:
-    core = fitness()
-    assert core.reason(0.0) is FitnessReason.NO_STAMP
-    core.stamp(1000.0)
-    core.stamp(500.0)
-    assert core.fit_until_ms(1200.0) == 1000.0 + LIMITS.freshness_ms
-    assert core.reason(1200.0) is FitnessReason.STAMP
+def test_a_timestamp_counts_from_the_begin_of_its_read() -> None:
+    eligibility = make_eligibility()
+    assert eligibility.reason(0.0) is FitnessReason.NO_STAMP
+    eligibility.stamp(1000.0)
+    eligibility.stamp(500.0)
+    assert eligibility.fit_until_ms(1200.0) == 1000.0 + LIMITS.freshness_ms
+    assert eligibility.reason(1200.0) is FitnessReason.STAMP
 
 
-def test_a_relayed_stamp_is_never_younger_than_the_read() -> None:
-    """An answer is held up on the way for a minute. Counting its age from when it
-    arrives would make an old read look fresh, and a withdrawn key would work on."""
-    core = fitness()
-    core.relayed(asked_at_ms=10_000.0, age_ms=1_500.0)
-    assert core.stamp_until_ms() == 8_500.0 + LIMITS.freshness_ms
-    core.relayed(asked_at_ms=5_000.0, age_ms=0.0)
-    assert not core.is_fit(60_000.0)
+def test_a_relayed_timestamp_is_never_newer_than_its_read() -> None:
+    """A reply is delayed for a minute. If its age counted from its arrival, an old read
+    would look fresh, and a withdrawn key would continue to work."""
+    eligibility = make_eligibility()
+    eligibility.relayed(requested_at_ms=10_000.0, age_ms=1_500.0)
+    assert eligibility.stamp_until_ms() == 8_500.0 + LIMITS.freshness_ms
+    eligibility.relayed(requested_at_ms=5_000.0, age_ms=0.0)
+    assert not eligibility.is_fit(60_000.0)
 
 
-def test_a_majority_carries_a_node_while_the_platform_is_away() -> None:
-    core = fitness()
-    core.platform_failing(10_000.0)
-    echoes(core, "b", 10_000.0)
-    assert core.reason(10_000.0) is FitnessReason.NO_MAJORITY
-    echoes(core, "c", 9_500.0)
-    assert core.reason(10_000.0) is FitnessReason.MAJORITY
-    assert core.fit_until_ms(10_000.0) == 9_500.0 + LIMITS.contact_ms
-    assert not core.is_fit(9_500.0 + LIMITS.contact_ms)
+def test_a_majority_keeps_a_node_eligible_in_a_platform_outage() -> None:
+    eligibility = make_eligibility()
+    eligibility.platform_failing(10_000.0)
+    record_echoes(eligibility, "b", 10_000.0)
+    assert eligibility.reason(10_000.0) is FitnessReason.NO_MAJORITY
+    record_echoes(eligibility, "c", 9_500.0)
+    assert eligibility.reason(10_000.0) is FitnessReason.MAJORITY
+    assert eligibility.fit_until_ms(10_000.0) == 9_500.0 + LIMITS.contact_ms
+    assert not eligibility.is_fit(9_500.0 + LIMITS.contact_ms)
 
 
-def test_without_a_sign_of_an_outage_a_majority_is_not_enough() -> None:
-    core = fitness()
-    echoes(core, "bcde", 10_000.0)
-    assert core.reason(10_000.0) is FitnessReason.NO_STAMP
+def test_a_majority_is_not_enough_without_a_failed_read() -> None:
+    eligibility = make_eligibility()
+    record_echoes(eligibility, "bcde", 10_000.0)
+    assert eligibility.reason(10_000.0) is FitnessReason.NO_STAMP
 
 
 def test_members_at_a_later_view_or_with_later_tickets_do_not_count() -> None:
-    """The rest of the fleet has moved on: it withdrew a key, or threw this node out.
-    It still answers heartbeats, and a node that counted them would serve on."""
-    core = fitness()
-    core.platform_failing(10_000.0)
-    echoes(core, "bcd", 10_000.0)
-    echoes(core, "bc", 10_001.0, number=2)
-    assert not core.is_fit(10_001.0)
-    core = fitness()
-    core.platform_failing(10_000.0)
+    """The other nodes have withdrawn a key or removed this node. They still answer
+    heartbeats; a node that counted these replies would continue to serve."""
+    eligibility = make_eligibility()
+    eligibility.platform_failing(10_000.0)
+    record_echoes(eligibility, "bcd", 10_000.0)
+    record_echoes(eligibility, "bc", 10_001.0, number=2)
+    assert not eligibility.is_fit(10_001.0)
+    eligibility = make_eligibility()
+    eligibility.platform_failing(10_000.0)
     for name in "bcde":
-        core.echo(MemberId(name), ViewNumber(1), 10_000.0, applied=TicketNumber(7))
-    assert not core.is_fit(10_000.0)
-    core.applied = TicketNumber(7)
-    assert core.is_fit(10_000.0 + LIMITS.refresh_ms)
-
-
-def test_a_woken_node_finds_its_deadline_passed() -> None:
-    """A host stops the process for a minute. When it runs on, its memory is full of
-    good evidence, all of it old."""
-    core = fitness()
-    core.stamp(1_000.0)
-    core.platform_failing(1_000.0)
-    echoes(core, "bcde", 1_000.0)
-    assert core.is_fit(1_500.0)
-    assert not core.is_fit(61_000.0)
-    assert not core.away(61_000.0)
-
-
-def test_away_lasts_until_the_next_view() -> None:
-    core = fitness()
-    core.stamp(0.0)
-    core.platform_failing(1_000.0)
-    assert not core.away(3_000.0)
-    assert core.away(4_500.0)
-    core.stamp(6_000.0)
-    assert core.away(6_000.0)
-    later = replace(view(3, "abcde"), formers=(Former(ViewNumber(2), ()),))
-    core.adopt(later, 6_000.0)
-    assert not core.away(6_000.0)
-    core.echo(MemberId("b"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(0)])
-    core.echo(MemberId("c"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(2)])
-    assert core.away_views(6_000.0) == {1, 2}
-
-
-class NoWait(Fitness):
-    """Baseline: count a majority of the own view, whatever former views may do."""
+        eligibility.echo(
+            MemberId(name), ViewNumber(1), 10_000.0, applied=TicketNumber(7)
+        )
+    assert not eligibility.is_fit(10_000.0)
+    eligibility.applied = TicketNumber(7)
+    assert eligibility.is_fit(10_000.0 + LIMITS.refresh_ms)
+
+
+def test_the_deadline_of_a_resumed_node_has_passed() -> None:
+    """A host pauses the process for a minute. When it resumes, all its evidence is
+    positive but outdated."""
+    eligibility = make_eligibility()
+    eligibility.stamp(1_000.0)
+    eligibility.platform_failing(1_000.0)
+    record_echoes(eligibility, "bcde", 1_000.0)
+    assert eligibility.is_fit(1_500.0)
+    assert not eligibility.is_fit(61_000.0)
+    assert not eligibility.away(61_000.0)
+
+
+def test_a_lost_platform_counts_as_unreachable_until_the_next_view() -> None:
+    eligibility = make_eligibility()
+    eligibility.stamp(0.0)
+    eligibility.platform_failing(1_000.0)
+    assert not eligibility.away(3_000.0)
+    assert eligibility.away(4_500.0)
+    eligibility.stamp(6_000.0)
+    assert eligibility.away(6_000.0)
+    later = replace(view(3, "abcde"), formers=(PreviousView(ViewNumber(2), ()),))
+    eligibility.adopt(later, 6_000.0)
+    assert not eligibility.away(6_000.0)
+    eligibility.echo(MemberId("b"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(0)])
+    eligibility.echo(MemberId("c"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(2)])
+    assert eligibility.away_views(6_000.0) == {1, 2}
+
+
+class NoConfirmation(Fitness):
+    """Baseline: accept a majority of the own view without regard to previous views."""
 
     def majority_at(self, view_number: ViewNumber, now_ms: float) -> bool:
         return self._view is not None and view_number <= self._view.number
 
 
-def minorities(fleet: Fleet) -> set[ViewNumber]:
-    """Return the views by which nodes are fit without the platform."""
+def views_with_majority(fleet: Fleet) -> set[ViewNumber]:
+    """Return the views by which nodes are eligible without the platform."""
     return {
         node.view.number
         for node in fleet.awake()
@@ -130,8 +134,8 @@
     }
 
 
-def split(fitness_type: type[Fitness]) -> Fleet:
-    """Cut two of five off; the three lose the platform just as a view is written."""
+def split_fleet(fitness_type: type[Fitness]) -> Fleet:
+    """Isolate two of five; the three lose the platform just as a view is written."""
     fleet = started(5, fitness_type=fitness_type)
     old = {MemberId(name) for name in ("n0", "n1", "n2")}
     fleet.part(old)
@@ -147,24 +151,24 @@
     return fleet
 
 
-def test_two_parts_are_never_fit_by_different_views() -> None:
-    """Three of five lose the platform and go on as a majority of the view they know.
-    The other two, cut off from them, let four new nodes join and then lose the
-    platform as well: six of a view of nine. Both parts spend the same shares, and a
-    customer gets twice its rate."""
-    assert minorities(split(NoWait)) == {1, 2}
-    assert minorities(split(Fitness)) == {1}
+def test_two_partitions_are_never_eligible_by_different_views() -> None:
+    """Three of five lose the platform and continue as a majority of the view they know.
+    The other two, isolated from them, let four new nodes join and then lose the
+    platform as well: six of a view of nine. Both partitions spend the same shares, and
+    a customer gets twice its rate."""
+    assert views_with_majority(split_fleet(NoConfirmation)) == {1, 2}
+    assert views_with_majority(split_fleet(Fitness)) == {1}
 
 
 class SplitMachine(RuleBasedStateMachine):
-    """Search orders of cuts, outages, pauses, restarts and view changes."""
+    """Search for failing orders of partitions, outages, pauses, restarts and views."""
 
     fitness_type: type[Fitness] = Fitness
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet = started(5, fitness_type=self.fitness_type)
-        self.starts = 5
+        self.started_count = 5
 
     def pick(self, index: int) -> Node:
         nodes = list(self.fleet.nodes.values())
@@ -177,7 +181,7 @@
             self.check()
 
     @rule(index=st.integers(0, 9), delay_ms=st.sampled_from([0.0, 900.0, 2900.0]))
-    def one_answer(self, index: int, delay_ms: float) -> None:
+    def one_delayed_echo(self, index: int, delay_ms: float) -> None:
         node, peer = self.pick(index), self.pick(index + 1)
         if node is not peer and node.awake and peer.awake:
             self.fleet.beat(node, peer, delay_ms)
@@ -187,11 +191,11 @@
         self.fleet.blocked.clear()
         self.fleet.part({self.pick(index).me.member for index in group})
 
-    @rule(sender=st.integers(0, 9), heard=st.booleans())
-    def deafen(self, sender: int, heard: bool) -> None:
+    @rule(sender=st.integers(0, 9), blocks_sending=st.booleans())
+    def cut_one_way(self, sender: int, blocks_sending: bool) -> None:
         one = self.pick(sender).me.member
         for other in self.fleet.nodes:
-            self.fleet.blocked.add((one, other) if heard else (other, one))
+            self.fleet.blocked.add((one, other) if blocks_sending else (other, one))
 
     @rule()
     def heal(self) -> None:
@@ -202,7 +206,7 @@
         self.fleet.reach = {self.pick(index).me.member for index in reach}
 
     @rule(index=st.integers(0, 9))
-    def stop_or_wake(self, index: int) -> None:
+    def pause_or_resume(self, index: int) -> None:
         node = self.pick(index)
         node.awake = not node.awake
 
@@ -210,13 +214,13 @@
     def restart(self, index: int, reaches: bool, dies: bool) -> None:
         if len(self.fleet.nodes) > 8 and not dies:
             return
-        address = str(self.starts)
+        address = str(self.started_count)
         if dies:
             old = self.pick(index)
             address = old.me.peer_address
             self.fleet.kill(old)
-        node = self.fleet.start(f"n{self.starts}", address, reaches=reaches)
-        self.starts += 1
+        node = self.fleet.start(f"n{self.started_count}", address, reaches=reaches)
+        self.started_count += 1
         for peer in self.fleet.awake():
             if (node.me.member, peer.me.member) not in self.fleet.blocked:
                 peer.membership.asks_to_join(node.me)
@@ -234,12 +238,12 @@
 
     @invariant()
     def check(self) -> None:
-        assert len(minorities(self.fleet)) <= 1
+        assert len(views_with_majority(self.fleet)) <= 1
         for node in self.fleet.awake():
             now_ms = self.fleet.now(node)
             if now_ms >= node.fitness.stamp_until_ms():
                 continue
-            # 2 % of clock rate on either side of the freshness time.
+            # Allows for clocks up to 2 % fast or slow.
             since_ms = self.fleet.t_ms - LIMITS.freshness_ms * 1.03
             due = sum(at_ms < since_ms for at_ms in self.fleet.tickets)
             assert node.applied >= due
@@ -254,10 +258,10 @@
 @pytest.mark.parametrize("size", [1, 2, 3])
 def test_small_fleets_need_more_than_half(size: int) -> None:
     names = "abc"[:size]
-    core = fitness(names)
-    core.platform_failing(1_000.0)
-    echoes(core, names[1 : size // 2 + 1], 1_000.0)
-    assert core.is_fit(1_000.0)
-    alone = fitness(names)
+    eligibility = make_eligibility(names)
+    eligibility.platform_failing(1_000.0)
+    record_echoes(eligibility, names[1 : size // 2 + 1], 1_000.0)
+    assert eligibility.is_fit(1_000.0)
+    alone = make_eligibility(names)
     alone.platform_failing(1_000.0)
     assert alone.is_fit(1_000.0) is (size == 1)
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -3,12 +3,12 @@
 from hypothesis import strategies as st
 
 from crocusspindle.core.members import (
-    MAX_FORMERS,
-    Former,
+    MAX_PREVIOUS_VIEWS,
     Membership,
     MembershipLimits,
     MemberView,
     Outage,
+    PreviousView,
     ProposalBar,
     Standing,
     ViewMember,
@@ -20,14 +20,14 @@
 from tests.core.small_fleet import Fleet, started
 
 LIMITS = MembershipLimits(batch_ms=0.0)
-FIT = Standing(fit=True, in_majority=True, confirmed=True)
-CUT_OFF = Standing(fit=True, in_majority=False, confirmed=True)
+ELIGIBLE = Standing(fit=True, in_majority=True, confirmed=True)
+ISOLATED = Standing(fit=True, in_majority=False, confirmed=True)
 
 
 def member(name: str, address: str | None = None) -> ViewMember:
     domain = DomainId(f"domain-{int(name[1:]) % 3}")
-    place = address or name
-    return ViewMember(MemberId(name), domain, "region", place, place, 0)
+    own_address = address or name
+    return ViewMember(MemberId(name), domain, "region", own_address, own_address, 0)
 
 
 def view_of(count: int, number: int = 1) -> MemberView:
@@ -35,140 +35,146 @@
     return MemberView(ViewNumber(number), members)
 
 
-def joined(count: int) -> Membership:
-    core = Membership(member("n0"), LIMITS)
-    core.adopt(view_of(count), 0.0)
-    return core
+def membership_of(count: int) -> Membership:
+    membership = Membership(member("n0"), LIMITS)
+    membership.adopt(view_of(count), 0.0)
+    return membership
 
 
-def proposed(
-    core: Membership, now_ms: float, standing: Standing = FIT, *outages: Outage
+def propose_view(
+    membership: Membership,
+    now_ms: float,
+    standing: Standing = ELIGIBLE,
+    *outages: Outage,
 ) -> MemberView:
-    view = core.propose(standing, now_ms, int(now_ms), outages)
+    view = membership.propose(standing, now_ms, int(now_ms), outages)
     assert isinstance(view, MemberView)
     return view
 
 
 @settings(max_examples=100, derandomize=True)
 @given(st.integers(0, 5), st.integers(0, 5), st.booleans())
-def test_views_survive_their_row_and_differ_by_deltas(
+def test_views_survive_encoding_and_differ_by_deltas(
     before: int, after: int, outage: bool
 ) -> None:
-    former, latter = view_of(before, 1), view_of(after, 2)
-    delta = diff(former, latter)
+    earlier, later = view_of(before, 1), view_of(after, 2)
+    delta = diff(earlier, later)
     assert len(delta.joined) == max(after - before, 0)
     assert len(delta.left) == max(before - after, 0)
-    outages = (Outage(ViewNumber(1), 5, former.names),) if outage else ()
-    whole = MemberView(
+    outages = (Outage(ViewNumber(1), 5, earlier.names),) if outage else ()
+    view = MemberView(
         ViewNumber(2),
-        latter.members,
-        (Former(ViewNumber(1), former.names),),
+        later.members,
+        (PreviousView(ViewNumber(1), earlier.names),),
         frozenset(delta.left),
         outages,
     )
-    assert decode_view(encode_view(whole)) == whole
-    assert whole.outage_ended_unix_ms == (5 if outage else None)
+    assert decode_view(encode_view(view)) == view
+    assert view.outage_ended_unix_ms == (5 if outage else None)
 
 
 @pytest.mark.parametrize("content", [b"", b"\xc1", b"\x01", b"\x80", b"\x81\x01"])
-def test_bytes_that_are_no_view_are_refused(content: bytes) -> None:
+def test_invalid_encoded_views_are_rejected(content: bytes) -> None:
     with pytest.raises(ValueError, match="not a member view"):
         decode_view(content)
 
 
-def test_silence_needs_a_witness_in_another_domain() -> None:
-    """A rack's switch goes. The nodes behind it hear nobody else, and agree with each
-    other that the rest is dead; believing them would empty the fleet."""
-    core = joined(6)
-    assert core.silent(9_000.0) == ()
+def test_removal_needs_a_witness_in_another_domain() -> None:
+    """A rack's switch fails. The nodes behind it receive nothing from the others and
+    agree that these have failed; trusting them would remove most of the fleet."""
+    membership = membership_of(6)
+    assert membership.silent(9_000.0) == ()
     for name in ("n0", "n2", "n3", "n4", "n5"):
-        core.heard(MemberId(name), 9_000.0)
+        membership.heard(MemberId(name), 9_000.0)
     now_ms = 11_000.0
-    assert core.silent(now_ms) == ("n1",)
-    core.silent_elsewhere(MemberId("n1"), MemberId("n3"), now_ms)
-    assert core.propose(FIT, now_ms, 0) is ProposalBar.NOTHING_TO_CHANGE
-    core.silent_elsewhere(MemberId("n1"), MemberId("n2"), now_ms)
-    assert core.propose(CUT_OFF, now_ms, 0) is ProposalBar.NOTHING_TO_CHANGE
-    view = proposed(core, now_ms)
+    assert membership.silent(now_ms) == ("n1",)
+    membership.silent_elsewhere(MemberId("n1"), MemberId("n3"), now_ms)
+    assert membership.propose(ELIGIBLE, now_ms, 0) is ProposalBar.NOTHING_TO_CHANGE
+    membership.silent_elsewhere(MemberId("n1"), MemberId("n2"), now_ms)
+    assert membership.propose(ISOLATED, now_ms, 0) is ProposalBar.NOTHING_TO_CHANGE
+    view = propose_view(membership, now_ms)
     assert MemberId("n1") not in view.names
-    assert view.formers == (Former(ViewNumber(1), view_of(6).names),)
-    core.heard(MemberId("n1"), now_ms)
-    assert core.propose(FIT, now_ms, 0) is ProposalBar.NOTHING_TO_CHANGE
+    assert view.formers == (PreviousView(ViewNumber(1), view_of(6).names),)
+    membership.heard(MemberId("n1"), now_ms)
+    assert membership.propose(ELIGIBLE, now_ms, 0) is ProposalBar.NOTHING_TO_CHANGE
 
 
-def test_a_witness_is_forgotten_after_a_while() -> None:
-    core = joined(3)
-    core.silent_elsewhere(MemberId("n1"), MemberId("n2"), 1_000.0)
-    core.heard(MemberId("n2"), 11_000.0)
-    assert core.propose(FIT, 11_000.0, 0) is ProposalBar.NOTHING_TO_CHANGE
+def test_a_witness_report_expires() -> None:
+    membership = membership_of(3)
+    membership.silent_elsewhere(MemberId("n1"), MemberId("n2"), 1_000.0)
+    membership.heard(MemberId("n2"), 11_000.0)
+    assert membership.propose(ELIGIBLE, 11_000.0, 0) is ProposalBar.NOTHING_TO_CHANGE
 
 
 def test_one_view_removes_at_most_a_minority() -> None:
-    core = joined(7)
+    membership = membership_of(7)
     for name in view_of(7).names[2:]:
         for witness in ("n1", "n2"):
-            core.silent_elsewhere(MemberId(name), MemberId(witness), 11_000.0)
-    core.heard(MemberId("n1"), 11_000.0)
-    assert len(proposed(core, 11_000.0).members) == 4
-
-
-def test_a_later_start_at_an_address_replaces_the_former_without_a_majority() -> None:
-    """The power fails, and all hosts start again at once. Nobody of the agreed view
-    is left to form a majority; without this rule no view could be written and no
-    share be spent again."""
-    core = Membership(member("n9", "n0"), LIMITS)
-    core.adopt(view_of(3), 0.0)
-    view = proposed(core, 1.0, CUT_OFF)
+            membership.silent_elsewhere(MemberId(name), MemberId(witness), 11_000.0)
+    membership.heard(MemberId("n1"), 11_000.0)
+    assert len(propose_view(membership, 11_000.0).members) == 4
+
+
+def test_a_restart_at_an_address_replaces_the_member_without_a_majority() -> None:
+    """The power fails, and all hosts restart at once. No member of the agreed view is
+    left to form a majority; without this rule no view could be written and no share
+    spent again."""
+    membership = Membership(member("n9", "n0"), LIMITS)
+    membership.adopt(view_of(3), 0.0)
+    view = propose_view(membership, 1.0, ISOLATED)
     assert view.names == ("n1", "n2", "n9")
     assert view.gone == {"n0"}
 
 
-def test_a_member_that_says_goodbye_leaves_at_once() -> None:
-    core = joined(3)
-    core.leaves(MemberId("n2"))
-    view = proposed(core, 1.0, CUT_OFF)
+def test_a_member_that_announces_its_leave_is_removed_at_once() -> None:
+    membership = membership_of(3)
+    membership.leaves(MemberId("n2"))
+    view = propose_view(membership, 1.0, ISOLATED)
     assert view.names == ("n0", "n1")
     assert view.gone == {"n2"}
-    core.leaves(MemberId("n0"))
-    core.adopt(view, 1.0)
-    assert proposed(core, 2.0).names == ("n1",)
+    membership.leaves(MemberId("n0"))
+    membership.adopt(view, 1.0)
+    assert propose_view(membership, 2.0).names == ("n1",)
 
 
-def test_an_unfit_node_proposes_nothing_and_changes_come_in_batches() -> None:
-    core = Membership(member("n0"))
-    core.adopt(view_of(2), 0.0)
-    core.asks_to_join(member("n5"))
-    unfit = Standing(fit=False, in_majority=True, confirmed=True)
-    assert core.propose(unfit, 5_000.0, 0) is ProposalBar.UNFIT
-    assert core.propose(FIT, 500.0, 0) is ProposalBar.BATCHING
-    assert proposed(core, 1_000.0).names == ("n0", "n1", "n5")
+def test_an_ineligible_node_proposes_nothing_and_changes_are_batched() -> None:
+    membership = Membership(member("n0"))
+    membership.adopt(view_of(2), 0.0)
+    membership.asks_to_join(member("n5"))
+    ineligible = Standing(fit=False, in_majority=True, confirmed=True)
+    assert membership.propose(ineligible, 5_000.0, 0) is ProposalBar.UNFIT
+    assert membership.propose(ELIGIBLE, 500.0, 0) is ProposalBar.BATCHING
+    assert propose_view(membership, 1_000.0).names == ("n0", "n1", "n5")
 
 
-def test_unconfirmed_views_are_carried_up_to_a_bound() -> None:
-    core = joined(1)
+def test_a_view_carries_a_bounded_number_of_unconfirmed_views() -> None:
+    membership = membership_of(1)
     unconfirmed = Standing(fit=True, in_majority=True, confirmed=False)
-    for number in range(1, MAX_FORMERS + 1):
-        core.asks_to_join(member(f"n{number}"))
-        core.adopt(proposed(core, 1.0, unconfirmed), 1.0)
-    core.asks_to_join(member("n99"))
-    assert core.propose(unconfirmed, 1.0, 0) is ProposalBar.UNCONFIRMED
-    assert len(proposed(core, 1.0, FIT).formers) == 1
+    for number in range(1, MAX_PREVIOUS_VIEWS + 1):
+        membership.asks_to_join(member(f"n{number}"))
+        membership.adopt(propose_view(membership, 1.0, unconfirmed), 1.0)
+    membership.asks_to_join(member("n99"))
+    assert membership.propose(unconfirmed, 1.0, 0) is ProposalBar.UNCONFIRMED
+    assert len(propose_view(membership, 1.0, ELIGIBLE).formers) == 1
 
 
-def test_outages_are_written_once_and_kept_for_a_while() -> None:
-    core = joined(2)
+def test_outages_are_recorded_once_and_expire() -> None:
+    membership = membership_of(2)
     outage = Outage(ViewNumber(1), 1_000, view_of(2).names)
-    view = proposed(core, 1_000.0, FIT, outage)
+    view = propose_view(membership, 1_000.0, ELIGIBLE, outage)
     assert view.outages == (outage,)
-    core.adopt(view, 1_000.0)
-    assert core.propose(FIT, 2_000.0, 2_000, [outage]) is ProposalBar.NOTHING_TO_CHANGE
-    core.asks_to_join(member("n7"))
+    membership.adopt(view, 1_000.0)
+    assert (
+        membership.propose(ELIGIBLE, 2_000.0, 2_000, [outage])
+        is ProposalBar.NOTHING_TO_CHANGE
+    )
+    membership.asks_to_join(member("n7"))
     late_ms = LIMITS.outage_kept_ms + 2_000
-    assert proposed(core, late_ms).outages == ()
+    assert propose_view(membership, late_ms).outages == ()
 
 
-def test_racing_writers_lose_harmlessly_and_older_views_are_ignored() -> None:
-    """Two nodes see the same member go and write the next view at once."""
+def test_only_one_concurrent_writer_succeeds_and_older_views_are_ignored() -> None:
+    """Two nodes detect the same lost member and write the next view concurrently."""
     fleet = started(5)
     fleet.kill(fleet.nodes[MemberId("n4")])
     fleet.rounds(6)
@@ -180,25 +186,25 @@
 
 
 @pytest.mark.parametrize("deaf", ["n0", "n3"])
-def test_a_deaf_node_does_not_throw_out_the_rest(deaf: str) -> None:
-    """One direction of a cable fails: a node's messages arrive, but it hears nobody.
-    By its own evidence everybody else is dead, and it reaches the platform."""
+def test_a_node_that_receives_nothing_does_not_remove_the_others(deaf: str) -> None:
+    """One direction of a link fails: a node can send but receives nothing. By its own
+    evidence all other members have failed, and it can reach the platform."""
     fleet = started(5)
     for other in fleet.nodes:
         fleet.blocked.add((other, MemberId(deaf)))
     fleet.rounds(8)
     assert not fleet.propose(fleet.nodes[MemberId(deaf)])
-    assert everyone_stays(fleet)
+    assert nobody_removed(fleet)
 
 
-def everyone_stays(fleet: Fleet) -> bool:
+def nobody_removed(fleet: Fleet) -> bool:
     for node in fleet.awake():
         fleet.propose(node)
     return len(decode_view(fleet.row).members) == len(fleet.nodes)
 
 
-def test_a_mute_node_goes_by_the_word_of_two_domains() -> None:
-    """The other direction fails: a node hears all, and nobody hears it."""
+def test_a_node_that_cannot_send_is_removed_if_two_domains_agree() -> None:
+    """The other direction fails: a node receives all messages but cannot send."""
     fleet = started(5)
     for other in fleet.nodes:
         fleet.blocked.add((MemberId("n4"), other))
@@ -207,7 +213,7 @@
     assert MemberId("n4") not in decode_view(fleet.row).names
 
 
-def test_a_fleet_restarted_as_a_whole_settles_on_a_new_view() -> None:
+def test_a_fleet_that_restarts_as_a_whole_settles_on_a_new_view() -> None:
     fleet = started(5)
     for index, node in enumerate(list(fleet.nodes.values())):
         fleet.kill(node)
