--- a/src/crocusspindle/core/caller_addresses.py
+++ b/src/crocusspindle/core/caller_addresses.py
@@ -1,4 +1,4 @@
-"""Choose the addresses that a customer's callers are told to use."""
+"""Choose the addresses that are returned to a customer's callers."""
 
 from collections.abc import Callable, Sequence
 from typing import Final
@@ -7,8 +7,8 @@
 from crocusspindle.ids import DomainId, MemberId
 
 ADDRESSES_MAX: Final = 6
-"""Addresses in one answer: holders of the customer's shares first, and enough others
-that a lost failure domain leaves two."""
+"""Maximum number of addresses in one response: first the holders of the customer's
+shares, and enough others that two remain if a failure domain is lost."""
 
 
 def caller_addresses(
@@ -16,15 +16,17 @@
     serves: Callable[[MemberId], bool],
     own: ViewMember | None,
 ) -> list[tuple[str, DomainId]]:
-    """Return addresses and failure domains of those that serve, best first.
+    """Return addresses and failure domains of the members that serve, best first.
 
-    The load is a busy host whose peers' echoes are all late for a moment while this
-    node is about to leave, so that nobody seems to serve. An empty list would leave
-    callers with nowhere to go; a leaving node still serves for as long as callers may
-    keep its address, so it names itself. A node that has just started is no member
-    yet and has heard nobody; it names the members that the fleet agrees on.
+    If the echoes of all peers are late while this node is about to leave, no member
+    seems to serve. An empty list would leave callers without an address; a leaving node
+    serves as long as callers may cache its address, so it returns its own. A node that
+    has just started is not a member and has received nothing yet; it returns the
+    members of the agreed view.
     """
-    named = [member for member in ranked if serves(member.member)]
-    if not named:
-        named = [*ranked] if own is None else [own]
-    return [(member.caller_address, member.domain) for member in named[:ADDRESSES_MAX]]
+    serving = [member for member in ranked if serves(member.member)]
+    if not serving:
+        serving = [*ranked] if own is None else [own]
+    return [
+        (member.caller_address, member.domain) for member in serving[:ADDRESSES_MAX]
+    ]
--- a/src/crocusspindle/core/customer_table.py
+++ b/src/crocusspindle/core/customer_table.py
@@ -1,4 +1,4 @@
-"""Hold customers in packed columns, found by id or by row number."""
+"""Store customers in packed columns, indexed by id and row number."""
 
 from array import array
 from collections.abc import Iterator
@@ -11,28 +11,28 @@
 from crocusspindle.ids import CustomerId
 
 MAX_ID_BYTES: Final = 255
-"""Ids are stored with their length in one byte."""
+"""The length of an id is stored in one byte."""
 
 ROW_BYTES: Final = 4
 TAG_BYTES: Final = 4
-HOLE: Final = 0xFFFF_FFFF
-"""Start of a row that holds no customer."""
+FREE_ROW: Final = 0xFFFF_FFFF
+"""Start offset of a free row."""
 
 MIN_WASTE_BYTES: Final = 65_536
-"""Removed ids are cleared away when they fill this much and a quarter of all.
+"""Removed ids are compacted once they take this many bytes and a quarter of all bytes.
 
-That copies all ids, 318.7 ms at 520,000 (benchmarks/directory.py), once in 130,000
-removals.
+Compaction copies all ids: 318.7 ms at 520,000 ids (benchmarks/directory.py), once in
+130,000 removals.
 """
 
 
 def row_bytes(row: int) -> bytes:
-    """Return a row number as stored in records."""
+    """Encode a row number as stored in records."""
     return row.to_bytes(ROW_BYTES, "little")
 
 
 class CustomerTable:
-    """Keep rate, burst and weight of each customer."""
+    """Store rate, burst and weight of each customer."""
 
     def __init__(self) -> None:
         self.index = RecordTable(TAG_BYTES + ROW_BYTES, 0)
@@ -49,14 +49,14 @@
 
     def __iter__(self) -> Iterator[Customer]:
         for row, start in enumerate(self.starts):
-            if start != HOLE:
+            if start != FREE_ROW:
                 yield self.at(row)
 
     def row(self, customer: CustomerId) -> int | None:
         """Return the row of a customer."""
         name = customer.encode()
-        place, tag = self._place(name)
-        for record in self.index.matches(place, tag):
+        bucket_hash, tag = self._hash_and_tag(name)
+        for record in self.index.matches(bucket_hash, tag):
             row = int.from_bytes(record[TAG_BYTES:], "little")
             if self._name(row) == name:
                 return row
@@ -85,19 +85,19 @@
         self.weights[row] = customer.weight
 
     def remove(self, customer: CustomerId) -> int | None:
-        """Remove a customer and return the row that is free again.
+        """Remove a customer and return the freed row.
 
-        The caller first removes what refers to the row: a new customer that gets
-        it would else be reached with the keys of the former one.
+        First remove what refers to the row, or a new customer that reuses it could be
+        reached with the keys of the previous one.
         """
         row = self.row(customer)
         if row is None:
             return None
         name = customer.encode()
-        place, tag = self._place(name)
-        self.index.remove(place, tag + row_bytes(row))
+        bucket_hash, tag = self._hash_and_tag(name)
+        self.index.remove(bucket_hash, tag + row_bytes(row))
         self.wasted_bytes += 1 + len(name)
-        self.starts[row] = HOLE
+        self.starts[row] = FREE_ROW
         self.free.append(row)
         if self.wasted_bytes > max(MIN_WASTE_BYTES, len(self.ids) // 4):
             self.compact()
@@ -108,15 +108,15 @@
             row = self.free.pop()
         else:
             row = len(self.starts)
-            self.starts.append(HOLE)
+            self.starts.append(FREE_ROW)
             self.rates.append(0.0)
             self.bursts.append(0)
             self.weights.append(0.0)
         self.starts[row] = len(self.ids)
         self.ids.append(len(name))
         self.ids += name
-        place, tag = self._place(name)
-        self.index.put(place, tag + row_bytes(row), b"")
+        bucket_hash, tag = self._hash_and_tag(name)
+        self.index.put(bucket_hash, tag + row_bytes(row), b"")
         return row
 
     def _name(self, row: int) -> bytes:
@@ -124,10 +124,10 @@
         return bytes(self.ids[start + 1 : start + 1 + self.ids[start]])
 
     def compact(self) -> None:
-        """Clear removed ids away; see `MIN_WASTE_BYTES` for what it costs."""
+        """Drop the bytes of removed ids; see `MIN_WASTE_BYTES` for the cost."""
         kept = bytearray()
         for row, start in enumerate(self.starts):
-            if start != HOLE:
+            if start != FREE_ROW:
                 end = start + 1 + self.ids[start]
                 self.starts[row] = len(kept)
                 kept += self.ids[start:end]
@@ -135,6 +135,6 @@
         self.wasted_bytes = 0
 
     @staticmethod
-    def _place(name: bytes) -> tuple[int, bytes]:
+    def _hash_and_tag(name: bytes) -> tuple[int, bytes]:
         digest = xxhash.xxh3_64_digest(name)
         return int.from_bytes(digest[TAG_BYTES:], "little"), digest[:TAG_BYTES]
--- a/src/crocusspindle/core/groups.py
+++ b/src/crocusspindle/core/groups.py
@@ -1,4 +1,4 @@
-"""Cut a service's targets into groups and choose a group for a request."""
+"""Partition a service's targets into groups and choose a group for a request."""
 
 import random
 from collections.abc import Iterable
@@ -11,25 +11,26 @@
 from crocusspindle.ids import ServiceId, TargetId
 
 _MEAN_SIZE: Final = 12
-"""Targets of a group on average.
-
-More pool better: at 80 % load a queue over 2, 4, 8 and 12 two-slot targets waits 0.61,
-0.21, 0.06 and 0.03 of the work (virtual time, exponential work). Fewer cost less when
-a home is lost or slow: with 12 of 51,000 targets at the peak a home carries 165
-requests a second, which one Python process does several times over, and a lost home
-makes 0.02 % of the fleet's requests look for another. Today's services of 6 to 15
-targets are one or two groups.
+"""Mean number of targets of a group.
+
+Larger groups pool better: at 80 % load, requests queued for 2, 4, 8 and 12 targets with
+two slots each wait 0.61, 0.21, 0.06 and 0.03 of the service time (virtual time,
+exponential service times). Smaller groups limit the effect of a lost or slow group
+coordinator: with 12 of 51,000 targets a coordinator handles 165 requests/s at the peak,
+which one Python process can do several times over, and its loss makes 0.02 % of the
+fleet's requests look for another one. Services of 6 to 15 targets form one or two
+groups.
 """
 
-_LARGEST_TO_MEAN: Final = 1.25
-"""Bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018): a group a quarter above
-the mean, so at most 16 targets, keeps a home within what was measured and moves few
-targets when one comes or goes."""
+_MAX_TO_MEAN: Final = 1.25
+"""Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018):
+a limit of a quarter above the mean, so at most 16 targets, keeps a coordinator within
+its measured load and moves few targets when one is added or removed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Hold the targets that one home places work on."""
+    """Hold the targets on which one group coordinator places requests."""
 
     service: ServiceId
     number: int
@@ -37,45 +38,44 @@
 
     @property
     def key(self) -> bytes:
-        """Return the key by which members are ordered as the group's homes."""
+        """Return the key by which members are ordered as the group's coordinators."""
         return _key(self.service, self.number)
 
 
 def cut(service: ServiceId, targets: Iterable[TargetId]) -> tuple[Group, ...]:
     """Return the groups of a service, the same on every node with the same list.
 
-    Load: hosts replaced all day. Harm prevented: homes that change with each of
-    them, and with a home its queue and what it has learnt. Of 100 targets, one that
-    goes moves 0.1 others on average; where the number of groups changes with it,
-    about a group's worth. The listed targets count, healthy or not, so that a
-    gray one moves nobody.
+    Hosts are replaced all day. If each replacement changed coordinators, their queues
+    and learnt state would be lost. Of 100 targets, a removed one moves 0.1 others on
+    average, or about one group's worth if the number of groups changes. All listed
+    targets count, healthy or not, so that a gray failure moves no other target.
     """
     listed = sorted(set(targets))
     if not listed:
         return ()
     number = ceil(len(listed) / _MEAN_SIZE)
-    most = ceil(_LARGEST_TO_MEAN * len(listed) / number)
+    max_size = ceil(_MAX_TO_MEAN * len(listed) / number)
     keys = [_key(service, each) for each in range(number)]
-    members: list[list[TargetId]] = [[] for _ in keys]
+    targets_of_group: list[list[TargetId]] = [[] for _ in keys]
     for target in sorted(listed, key=lambda each: score(service.encode(), each)):
         for each in sorted(range(number), key=lambda each: -score(keys[each], target)):
-            if len(members[each]) < most:
-                members[each].append(target)
+            if len(targets_of_group[each]) < max_size:
+                targets_of_group[each].append(target)
                 break
     return tuple(
-        Group(service, each, tuple(sorted(found)))
-        for each, found in enumerate(members)
-        if found
+        Group(service, each, tuple(sorted(group_targets)))
+        for each, group_targets in enumerate(targets_of_group)
+        if group_targets
     )
 
 
 class GroupChooser:
-    """Choose between groups by the loads that answers of their homes carry.
+    """Choose between groups by the loads that their coordinators report in replies.
 
-    Load: many entries that see old loads. Harm prevented: all of them choosing
-    the group that was idle a moment ago. Two groups are drawn by their slots and
-    the one with less to wait is taken (Mitzenmacher, 2001); what this entry has
-    sent since the load was seen counts as queued.
+    Reported loads are stale, and many entries would all choose the group that was idle
+    a moment ago. So two groups are drawn, weighted by slots, and the one with the
+    shorter wait is taken (power of two choices, Mitzenmacher, 2001); requests sent by
+    this entry since the report count as queued.
     """
 
     def __init__(self, generator: random.Random) -> None:
@@ -84,14 +84,14 @@
         self._sent: dict[Group, int] = {}
 
     def note(self, group: Group, load: HomeLoad) -> None:
-        """Take the load that an answer of the group's home carried."""
+        """Record the load that a reply of the group's coordinator reported."""
         self._loads[group] = load
         self._sent[group] = 0
 
     def choose(self, groups: tuple[Group, ...]) -> Group:
-        """Return a group for a request and count it as sent there."""
+        """Return a group for a request and count the request as sent there."""
         if len(groups) > 1:
-            self._keep(groups)
+            self._drop_outdated(groups)
             sizes = [self._slots(group) for group in groups]
             drawn = self._random.choices(groups, sizes, k=2)
             chosen = min(drawn, key=self._pressure)
@@ -100,8 +100,8 @@
         self._sent[chosen] = self._sent.get(chosen, 0) + 1
         return chosen
 
-    def _keep(self, groups: tuple[Group, ...]) -> None:
-        """Forget groups of targets that changed."""
+    def _drop_outdated(self, groups: tuple[Group, ...]) -> None:
+        """Drop groups of the service whose targets have changed."""
         service = groups[0].service
         for known in [each for each in self._sent if each not in groups]:
             if known.service == service:
@@ -110,8 +110,8 @@
 
     def _slots(self, group: Group) -> float:
         load = self._loads.get(group)
-        # A home whose targets are all ejected is still asked now and then, since
-        # only its answers tell that they are back.
+        # A coordinator whose targets are all ejected still gets a request now and
+        # then, since only its replies report that they are back.
         return max(load.slots, 0.1) if load else float(len(group.targets))
 
     def _pressure(self, group: Group) -> tuple[float, float]:
--- a/src/crocusspindle/core/packed.py
+++ b/src/crocusspindle/core/packed.py
@@ -1,9 +1,9 @@
-"""Keep many small records in few Python objects.
+"""Store many small records in few Python objects.
 
-Half a million customers as Python objects take more than 250 MB; a node has 128 MB
-for control. Records of a fixed size lie side by side in 4,096 byte arrays, chosen by
-hash. At 520,000 records an array holds 127 of them, found by one search at the speed
-of C. There is no index to rebuild, so no change ever stops the node for long.
+Half a million customers as Python objects take more than 250 MB; a node has 128 MB for
+the control state. Fixed-size records are stored contiguously in 4,096 byte arrays,
+chosen by hash. At 520,000 records an array holds 127 of them, found by one search in C.
+There is no index to rebuild, so no change blocks the node for long.
 """
 
 from collections.abc import Callable, Iterator
@@ -13,7 +13,7 @@
 
 
 class RecordTable:
-    """Hold records of a key and a value, both of fixed size."""
+    """Hold records with a key and a value of fixed size."""
 
     def __init__(self, key_bytes: int, value_bytes: int) -> None:
         self._key_bytes = key_bytes
@@ -24,90 +24,90 @@
     def __len__(self) -> int:
         return self._count
 
-    def matches(self, place: int, prefix: bytes) -> Iterator[bytes]:
+    def matches(self, bucket_hash: int, prefix: bytes) -> Iterator[bytes]:
         """Return the records of a bucket that start with these bytes."""
-        bucket = self._buckets[place % BUCKETS]
-        at = bucket.find(prefix)
-        while at >= 0:
-            if at % self._record_bytes == 0:
-                yield bytes(bucket[at : at + self._record_bytes])
-            at = bucket.find(prefix, at + 1)
-
-    def get(self, place: int, key: bytes) -> bytes | None:
+        bucket = self._buckets[bucket_hash % BUCKETS]
+        offset = bucket.find(prefix)
+        while offset >= 0:
+            if offset % self._record_bytes == 0:
+                yield bytes(bucket[offset : offset + self._record_bytes])
+            offset = bucket.find(prefix, offset + 1)
+
+    def get(self, bucket_hash: int, key: bytes) -> bytes | None:
         """Return the value of a key."""
-        bucket = self._buckets[place % BUCKETS]
-        at = self._position(bucket, key)
-        if at < 0:
+        bucket = self._buckets[bucket_hash % BUCKETS]
+        offset = self._position(bucket, key)
+        if offset < 0:
             return None
-        return bytes(bucket[at + self._key_bytes : at + self._record_bytes])
+        return bytes(bucket[offset + self._key_bytes : offset + self._record_bytes])
 
-    def put(self, place: int, key: bytes, value: bytes) -> None:
+    def put(self, bucket_hash: int, key: bytes, value: bytes) -> None:
         """Add a record or replace its value."""
-        bucket = self._buckets[place % BUCKETS]
-        at = self._position(bucket, key)
-        if at < 0:
+        bucket = self._buckets[bucket_hash % BUCKETS]
+        offset = self._position(bucket, key)
+        if offset < 0:
             bucket += key + value
             self._count += 1
             return
-        bucket[at + self._key_bytes : at + self._record_bytes] = value
+        bucket[offset + self._key_bytes : offset + self._record_bytes] = value
 
-    def remove(self, place: int, key: bytes) -> bool:
+    def remove(self, bucket_hash: int, key: bytes) -> bool:
         """Remove a record and return True if it was there."""
-        bucket = self._buckets[place % BUCKETS]
-        at = self._position(bucket, key)
-        if at >= 0:
-            self._cut(bucket, at)
-        return at >= 0
+        bucket = self._buckets[bucket_hash % BUCKETS]
+        offset = self._position(bucket, key)
+        if offset >= 0:
+            self._remove_at(bucket, offset)
+        return offset >= 0
 
-    def remove_where(self, unwanted: Callable[[bytes], bool], holding: bytes) -> int:
-        """Remove records that hold these bytes and are unwanted; return how many.
+    def remove_where(self, unwanted: Callable[[bytes], bool], contained: bytes) -> int:
+        """Remove unwanted records that contain these bytes; return how many.
 
-        The search for the bytes passes over the buckets without them at the speed
-        of C; only records found so are looked at one by one.
+        Buckets without the bytes are skipped by a search in C; only records that
+        contain them are tested one by one.
         """
-        before = self._count
+        count_before = self._count
         for bucket in self._buckets:
-            at = bucket.find(holding)
-            while at >= 0:
-                start = at - at % self._record_bytes
+            offset = bucket.find(contained)
+            while offset >= 0:
+                start = offset - offset % self._record_bytes
                 if unwanted(bytes(bucket[start : start + self._record_bytes])):
-                    self._cut(bucket, start)
-                    at = bucket.find(holding, start)
+                    self._remove_at(bucket, start)
+                    offset = bucket.find(contained, start)
                 else:
-                    at = bucket.find(holding, at + 1)
-        return before - self._count
+                    offset = bucket.find(contained, offset + 1)
+        return count_before - self._count
 
     def records(self) -> Iterator[bytes]:
-        """Return all records; the table must not change meanwhile."""
+        """Return all records; the table must not change during the iteration."""
         size = self._record_bytes
         for bucket in self._buckets:
-            for at in range(0, len(bucket), size):
-                yield bytes(bucket[at : at + size])
+            for offset in range(0, len(bucket), size):
+                yield bytes(bucket[offset : offset + size])
 
     def blocks(self) -> Iterator[bytes]:
-        """Return the content of each bucket, in order, to be saved."""
+        """Return the content of each bucket in order, for a snapshot."""
         return map(bytes, self._buckets)
 
     def restore(self, first: int, blocks: list[bytes]) -> None:
-        """Put saved buckets back, from the first one on."""
-        for place, block in enumerate(blocks, first):
-            self._count -= len(self._buckets[place]) // self._record_bytes
-            self._buckets[place] = bytearray(block)
+        """Restore consecutive buckets, starting with bucket ``first``."""
+        for index, block in enumerate(blocks, first):
+            self._count -= len(self._buckets[index]) // self._record_bytes
+            self._buckets[index] = bytearray(block)
             self._count += len(block) // self._record_bytes
 
     def fits(self, block: bytes) -> bool:
-        """Return True if the block holds whole records."""
+        """Return True if the block consists of complete records."""
         return len(block) % self._record_bytes == 0
 
     def _position(self, bucket: bytearray, key: bytes) -> int:
-        at = bucket.find(key)
-        while at >= 0 and at % self._record_bytes:
-            at = bucket.find(key, at + 1)
-        return at
+        offset = bucket.find(key)
+        while offset >= 0 and offset % self._record_bytes:
+            offset = bucket.find(key, offset + 1)
+        return offset
 
-    def _cut(self, bucket: bytearray, at: int) -> None:
-        """Move the last record into the place of the removed one."""
+    def _remove_at(self, bucket: bytearray, offset: int) -> None:
+        """Remove a record by moving the last one into its place."""
         last = len(bucket) - self._record_bytes
-        bucket[at : at + self._record_bytes] = bucket[last:]
+        bucket[offset : offset + self._record_bytes] = bucket[last:]
         del bucket[last:]
         self._count -= 1
--- a/tests/core/test_caller_addresses.py
+++ b/tests/core/test_caller_addresses.py
@@ -1,4 +1,4 @@
-"""Tell callers where to go while nodes come and leave."""
+"""Return the right addresses to callers while nodes start and leave."""
 
 from crocusspindle.core.caller_addresses import ADDRESSES_MAX, caller_addresses
 from crocusspindle.core.members import ViewMember
@@ -10,32 +10,32 @@
     return ViewMember(name, DomainId("a"), "r", address, "10.0.0.9:1", 0)
 
 
-def test_only_members_that_serve_are_named_in_their_order():
+def test_only_serving_members_are_returned_in_order():
     members = [member(number) for number in (3, 1, 2)]
     found = caller_addresses(members, lambda name: name != "n1@1", members[1])
     assert found == [("10.0.0.3:80", "a"), ("10.0.0.2:80", "a")]
 
 
-def test_a_leaving_node_that_hears_nobody_names_itself():
-    """A busy host answers heartbeats late while it is about to stop.
+def test_a_leaving_node_without_echoes_returns_its_own_address():
+    """The echoes of all peers are late while this node is about to stop.
 
-    Nobody seems to serve, and its callers, told of no address at all, fail at once
-    although this very node would still serve them.
+    No member seems to serve. Without any address callers would fail at once although
+    this node still serves them.
     """
     members = [member(number) for number in (3, 1, 2)]
     found = caller_addresses(members, lambda name: False, members[1])
     assert found == [("10.0.0.1:80", "a")]
 
 
-def test_a_node_that_has_just_started_names_the_members():
-    """It is asked before its first heartbeats are back, and is no member itself yet.
+def test_a_node_that_has_just_started_returns_the_members():
+    """It is asked before its first heartbeats are answered, and is not a member yet.
 
-    Callers that are told of no address fail at once, with the whole fleet at work.
+    Without any address callers would fail at once while the whole fleet serves.
     """
     found = caller_addresses([member(1), member(2)], lambda name: False, None)
     assert found == [("10.0.0.1:80", "a"), ("10.0.0.2:80", "a")]
 
 
-def test_a_large_fleet_is_named_in_part():
+def test_the_number_of_addresses_is_bounded():
     members = [member(number) for number in range(ADDRESSES_MAX + 9)]
     assert len(caller_addresses(members, lambda name: True, None)) == ADDRESSES_MAX
--- a/tests/core/test_groups.py
+++ b/tests/core/test_groups.py
@@ -19,17 +19,17 @@
     assert cut("bayaran", reversed(TARGETS[:number])) == groups
 
 
-def test_few_targets_change_their_group_when_one_goes():
-    """A host is replaced. Were all targets dealt out anew, every home would lose its
-    queue and the slots it has learnt."""
+def test_few_targets_change_their_group_when_one_is_removed():
+    """A host is replaced. If all targets were partitioned anew, every coordinator would
+    lose its queue and the slots that it has learnt."""
     before = {
         target: group.number
         for group in cut("bayaran", TARGETS[:100])
         for target in group.targets
     }
     moved = []
-    for gone in TARGETS[:40]:
-        after = cut("bayaran", [each for each in TARGETS[:100] if each != gone])
+    for removed in TARGETS[:40]:
+        after = cut("bayaran", [each for each in TARGETS[:100] if each != removed])
         moved.append(
             sum(
                 before[target] != group.number
@@ -40,9 +40,9 @@
     assert sum(moved) / len(moved) < 5.0
 
 
-def test_groups_are_chosen_by_wait_and_what_was_sent_since():
-    """The loads that an entry knows are a moment old. Sent by them alone, its
-    requests would all meet in the group that was idle then."""
+def test_groups_are_chosen_by_wait_and_requests_sent_since():
+    """The loads known to an entry are stale. By these alone it would send all requests
+    to the group that was idle then."""
     groups = cut("bayaran", TARGETS[:40])
     chooser = GroupChooser(random.Random(1))
     for group in groups:
