--- a/src/crocusspindle/core/fitness.py
+++ b/src/crocusspindle/core/fitness.py
@@ -35,8 +35,8 @@
     counts as unreachable after a failed read: as long as a timestamp is fresh.
     ``refresh_ms`` avoids sorting 5,400 contacts for each request. ``expiry_ms`` is how
     long a right by a previous view may outlast the confirmation of the next one: the
-    contact time of a node that counted a member before that adopted the next view, plus
-    5 % for clocks that run at different speeds.
+    contact time of a node that counted a member before this member adopted the next
+    view, plus 5 % for clocks that run at different speeds.
     """
 
     freshness_ms: float = 4_000.0
--- a/tests/core/test_shares.py
+++ b/tests/core/test_shares.py
@@ -18,7 +18,7 @@
 ]
 CLUB = Customer(CustomerId("club"), 1.0, 2)
 HOLDERS = holders_of(CLUB.customer, CLUB.rate_per_s, CLUB.burst, MEMBERS)
-OUTSIDER = next(each.member for each in MEMBERS if each.member not in HOLDERS)
+NON_HOLDER = next(each.member for each in MEMBERS if each.member not in HOLDERS)
 
 
 def ledger_of(member: MemberId, customer: Customer = CLUB) -> ShareLedger:
@@ -87,23 +87,25 @@
 
 def test_a_holder_gathers_two_half_tokens_for_a_non_holder():
     first, second = (ledger_of(each) for each in HOLDERS)
-    outsider = ledger_of(OUTSIDER)
+    non_holder = ledger_of(NON_HOLDER)
     now_ms = 100_000.0
     for ledger in (first, second):
         assert isinstance(ledger.spend(CLUB.customer, FOREVER, now_ms), Spent)
     now_ms += 1_000.0  # Half a token each.
-    asked = outsider.spend(CLUB.customer, FOREVER, now_ms)
-    assert isinstance(asked, Borrow)
-    assert asked.gather
+    borrow = non_holder.spend(CLUB.customer, FOREVER, now_ms)
+    assert isinstance(borrow, Borrow)
+    assert borrow.gather
     holder, other = (
-        (first, second) if asked.holders[0] == HOLDERS[0] else (second, first)
+        (first, second) if borrow.holders[0] == HOLDERS[0] else (second, first)
     )
-    assert holder.lend(CLUB.customer, asked.missing, FOREVER, now_ms).amount == 0.0
-    while (found := holder.gather(CLUB.customer, asked.missing, now_ms)) is not None:
-        loan = other.lend(CLUB.customer, found.missing, FOREVER, now_ms)
-        holder.topped_up(CLUB.customer, loan, found.holders[0], now_ms, now_ms)
-    loan = holder.lend(CLUB.customer, asked.missing, FOREVER, now_ms)
-    result = outsider.borrowed(CLUB.customer, loan, asked.holders[0], now_ms, now_ms)
+    assert holder.lend(CLUB.customer, borrow.missing, FOREVER, now_ms).amount == 0.0
+    while (
+        borrow_more := holder.gather(CLUB.customer, borrow.missing, now_ms)
+    ) is not None:
+        loan = other.lend(CLUB.customer, borrow_more.missing, FOREVER, now_ms)
+        holder.topped_up(CLUB.customer, loan, borrow_more.holders[0], now_ms, now_ms)
+    loan = holder.lend(CLUB.customer, borrow.missing, FOREVER, now_ms)
+    result = non_holder.borrowed(CLUB.customer, loan, borrow.holders[0], now_ms, now_ms)
     assert isinstance(result, Spent)
     for ledger in (first, second):
         assert ledger.lend(CLUB.customer, 0.01, FOREVER, now_ms).amount == 0.0
@@ -115,9 +117,9 @@
     first, second = (ledger_of(each) for each in HOLDERS)
     now_ms = 100_000.0
     assert isinstance(first.spend(CLUB.customer, FOREVER, now_ms), Spent)
-    asked = first.top_up(CLUB.customer, now_ms)
-    assert asked == Borrow((HOLDERS[1],), 0.5)
-    loan = second.lend(CLUB.customer, asked.missing, FOREVER, now_ms)
+    borrow = first.top_up(CLUB.customer, now_ms)
+    assert borrow == Borrow((HOLDERS[1],), 0.5)
+    loan = second.lend(CLUB.customer, borrow.missing, FOREVER, now_ms)
     first.topped_up(CLUB.customer, loan, HOLDERS[1], now_ms, now_ms + 3.0)
     now_ms += 1_000.0
     assert isinstance(first.spend(CLUB.customer, FOREVER, now_ms), Spent)
@@ -130,30 +132,30 @@
     assert ledger.spend(CLUB.customer, 99_999.0, 100_000.0) == Unfit()
     assert ledger.lend(CLUB.customer, 1.0, 99_999.0, 100_000.0).amount == 0.0
     loan = Loan(1.0, 0.5, 0.0)
-    asked_ms = 99_990.0
-    result = ledger.borrowed(CLUB.customer, loan, HOLDERS[1], asked_ms, 100_000.0)
+    requested_ms = 99_990.0
+    result = ledger.borrowed(CLUB.customer, loan, HOLDERS[1], requested_ms, 100_000.0)
     assert result == Unfit()
 
 
 def test_a_late_loan_is_worth_what_its_lender_has_not_refilled():
     # A loan of one token takes a second to arrive, and its lender refills half a token
     # meanwhile. Credited in full, a share of one token would hold one and a half.
-    outsider = ledger_of(OUTSIDER)
+    non_holder = ledger_of(NON_HOLDER)
     loan = Loan(1.0, 0.5, 1_000.0)
-    outsider.spend(CLUB.customer, FOREVER, 9_000.0)
-    result = outsider.borrowed(CLUB.customer, loan, HOLDERS[0], 9_000.0, 10_000.0)
+    non_holder.spend(CLUB.customer, FOREVER, 9_000.0)
+    result = non_holder.borrowed(CLUB.customer, loan, HOLDERS[0], 9_000.0, 10_000.0)
     assert isinstance(result, Borrow)
     assert result.missing == pytest.approx(0.51)
 
 
 def test_refusing_a_customer_over_its_rate_costs_no_message():
-    outsider = ledger_of(OUTSIDER)
+    non_holder = ledger_of(NON_HOLDER)
     now_ms = 100_000.0
     refused = Loan(0.0, 0.5, 1_000.0)
     for holder in HOLDERS:
-        outsider.borrowed(CLUB.customer, refused, holder, now_ms, now_ms)
+        non_holder.borrowed(CLUB.customer, refused, holder, now_ms, now_ms)
     results = [
-        outsider.spend(CLUB.customer, FOREVER, now_ms + step) for step in range(900)
+        non_holder.spend(CLUB.customer, FOREVER, now_ms + step) for step in range(900)
     ]
     assert {type(each) for each in results} == {OverRate}
     assert results[0].retry_at_ms == pytest.approx(now_ms + 1_000.0)
--- a/tests/core/test_shares_bound.py
+++ b/tests/core/test_shares_bound.py
@@ -159,8 +159,8 @@
 def replaced_and_isolated(name: str, faults: Faults) -> World:
     """Isolate a holder in a platform outage, just after it was replaced.
 
-    The previous holder was in contact with the majority until just before that adopted
-    the new view.
+    The previous holder was in contact with the majority until just before the majority
+    adopted the new view.
     """
     world = World(seed=3, nodes=9, faults=faults)
     world.advance(60_000.0)
