--- a/src/crocusspindle/core/quota_reserve.py
+++ b/src/crocusspindle/core/quota_reserve.py
@@ -1,16 +1,16 @@
-"""Serve a customer without a keeper on a part of the published slack."""
+"""Serve a customer that has no keeper out of the slack of its quota."""
 
 from crocusspindle.core.view import View
 from crocusspindle.ids import CustomerId, HostId
 
 
 class QuotaReserve:
-    """Spend a node's part of the published slack while a customer has no keeper.
+    """Spend this node's fraction of a quota's slack while there is no keeper.
 
-    The load is the few seconds after a keeper fell silent. The bound over the fleet
-    is what the keeper may admit plus the slack; half of the slack is divided among
-    the members in whole requests a window. A node that has just started spends
-    none for a window, since it has forgotten what it spent in its former life.
+    This serves the few seconds after a keeper became silent. The published bound over
+    the fleet is the keeper's quota plus the slack; half of the slack is divided among
+    the members in whole requests per window. A restarted node spends none for a window,
+    since its previous process may have spent its fraction already.
     """
 
     def __init__(self, host: HostId, window_ms: float, starts_at_ms: float) -> None:
@@ -22,14 +22,14 @@
     def spend(
         self, customer: CustomerId, slack: float, view: View | None, now_ms: float
     ) -> bool:
-        """Return True if one request may pass on the slack of its customer."""
+        """Spend one request of the customer's slack; return False if none is left."""
         if view is None or now_ms < self._starts_at_ms + self._window_ms:
             return False
         ranked = view.ranked(f"reserve {customer}")
         if self._host not in ranked:
             return False
-        whole, rest = divmod(int(slack / 2), len(ranked))
-        allowed = whole + (1 if ranked.index(self._host) < rest else 0)
+        quotient, remainder = divmod(int(slack / 2), len(ranked))
+        allowed = quotient + (1 if ranked.index(self._host) < remainder else 0)
         since_ms = now_ms - self._window_ms
         spent = [at for at in self._spent_at_ms.get(customer, ()) if at > since_ms]
         self._spent_at_ms[customer] = spent
--- a/src/crocusspindle/core/window_bucket.py
+++ b/src/crocusspindle/core/window_bucket.py
@@ -1,15 +1,15 @@
-"""Hold a customer's token bucket with the memory of its bound's window.
+"""Hold a customer's token bucket over a sliding window.
 
-A customer's bound counts any span up to a window: in a span of s seconds, rate times
-s plus the burst. A plain bucket never forgets: a customer that asks for more than its
-rate gets the burst once and then the rate for as long as it asks, though from one
-window on its bound allows it the burst again. The load is a customer over its rate for
-many seconds, as after its limit was lowered; the harm is its requests within the bound
-that are refused: a sixth of it for a burst of one second's rate and a window of five.
+A customer's bound holds for any span up to a window: rate times s plus the burst in a
+span of s seconds. A plain token bucket never forgets an admission: a customer that
+stays over its rate gets the burst once and then only the rate, though its bound allows
+the burst again after a window. A customer over its rate for many seconds, as after its
+limit was lowered, would be refused requests within its bound: a sixth of the bound for
+a burst of one second's rate and a window of five seconds.
 
-So what was admitted longer ago than the window counts no more. Within any window the
-bound holds, and it holds across two keepers: what one admitted in s seconds and what
-the next one, which opens empty, refills in the rest of the window make the bound.
+Admissions older than the window are therefore ignored. The bound holds within any
+window, also across two keepers: the requests that one admits in s seconds and those
+that the next one, which opens empty, refills in the rest of the window make the bound.
 """
 
 from collections import deque
@@ -17,51 +17,51 @@
 
 from crocusspindle.core.configuration import CustomerRule
 
-STEPS: Final = 100
-"""Parts of a window in which admissions count as one, at the time of the last: that is
-on the safe side, and bounds the work of an ask for customers of any rate."""
+STEPS_PER_WINDOW: Final = 100
+"""Time steps of a window. Admissions of one step count together, at the time of the
+last: that is on the safe side, and bounds the work per request at any rate."""
 
 
 class WindowBucket:
-    """Count what was admitted within the window, and tell what is left."""
+    """Count admissions within the window, and compute the tokens left."""
 
     def __init__(self, window_ms: float) -> None:
         self._window_ms = window_ms
-        self._spent: deque[tuple[float, float, float]] = deque()
+        self._admissions: deque[tuple[float, float, float]] = deque()
 
     def open(self, tokens: float, rule: CustomerRule, now_ms: float) -> None:
-        """Begin with so many tokens, as if the rest of the burst was just spent."""
-        self._spent.clear()
+        """Start with the given tokens, as if the rest of the burst was just spent."""
+        self._admissions.clear()
         spent = _burst(rule) - tokens
         if spent > 0.0:
-            self._spent.append((now_ms, now_ms, spent))
+            self._admissions.append((now_ms, now_ms, spent))
 
     def tokens(self, rule: CustomerRule, now_ms: float) -> float:
-        """Return what may be admitted at once; below 0 what was promised ahead."""
+        """Return the tokens available now; negative if tokens were granted ahead."""
         self._forget(now_ms)
         per_ms = rule.rate_per_s / 1e3
         left = _burst(rule)
         spent = 0.0
-        for _, last_ms, count in reversed(self._spent):
+        for _, last_ms, count in reversed(self._admissions):
             spent += count
             left = min(left, _burst(rule) + per_ms * (now_ms - last_ms) - spent)
         return left
 
     def _forget(self, now_ms: float) -> None:
         since_ms = now_ms - self._window_ms
-        while self._spent and self._spent[0][1] <= since_ms:
-            self._spent.popleft()
+        while self._admissions and self._admissions[0][1] <= since_ms:
+            self._admissions.popleft()
 
-    def take(self, now_ms: float) -> None:
+    def record_admission(self, now_ms: float) -> None:
         """Count one admission."""
-        if self._spent:
-            first_ms, _, count = self._spent[-1]
-            if now_ms - first_ms < self._window_ms / STEPS:
-                self._spent[-1] = (first_ms, now_ms, count + 1.0)
+        if self._admissions:
+            first_ms, _, count = self._admissions[-1]
+            if now_ms - first_ms < self._window_ms / STEPS_PER_WINDOW:
+                self._admissions[-1] = (first_ms, now_ms, count + 1.0)
                 return
-        self._spent.append((now_ms, now_ms, 1.0))
+        self._admissions.append((now_ms, now_ms, 1.0))
 
 
 def _burst(rule: CustomerRule) -> float:
-    # A customer without a burst still has its rate, one request at a time.
+    # A customer without a burst still gets its rate, one request at a time.
     return max(1.0, rule.burst)
--- a/tests/core/quota_world.py
+++ b/tests/core/quota_world.py
@@ -1,4 +1,4 @@
-"""Make keepers, views and a customer for the tests of quotas."""
+"""Create keepers, views and a customer for the quota tests."""
 
 import math
 
@@ -28,23 +28,23 @@
     return {HostId(name): node(name) for name in names}
 
 
-def new_keeper(of: NodeAddress, began_ms: float = math.inf) -> QuotaKeeper:
-    made = QuotaKeeper(of.host, of.incarnation, FENCE_MS, WINDOW_MS, began_ms)
-    made.set_rules({CLUB: RULE})
-    return made
+def new_keeper(owner: NodeAddress, began_ms: float = math.inf) -> QuotaKeeper:
+    created = QuotaKeeper(owner.host, owner.incarnation, FENCE_MS, WINDOW_MS, began_ms)
+    created.set_rules({CLUB: RULE})
+    return created
 
 
 def keeper(name: str, view: View, now_ms: float) -> QuotaKeeper:
-    seat = view.by_host.get(HostId(name))
-    made = new_keeper(seat.node if seat else node(name))
-    made.set_view(view, now_ms, now_ms)
-    return made
+    entry = view.by_host.get(HostId(name))
+    created = new_keeper(entry.node if entry else node(name))
+    created.set_view(view, now_ms, now_ms)
+    return created
 
 
 def by_rank(*names: str) -> list[str]:
     return [str(host) for host in next_view(None, present(*names)).ranked(CLUB)]
 
 
-def admitted(of: QuotaKeeper, now_ms: float, asks: int) -> int:
-    answers = [of.spend(CLUB, 0.0, now_ms) for _ in range(asks)]
-    return sum(isinstance(answer, Admitted) for answer in answers)
+def admitted(owner: QuotaKeeper, now_ms: float, requests: int) -> int:
+    results = [owner.spend(CLUB, 0.0, now_ms) for _ in range(requests)]
+    return sum(isinstance(result, Admitted) for result in results)
--- a/tests/core/test_quota_keeper.py
+++ b/tests/core/test_quota_keeper.py
@@ -1,4 +1,4 @@
-"""Keep one bucket a customer while members come, go, restart and lose touch."""
+"""Test one bucket per customer while members join, leave, restart and are cut off."""
 
 import random
 
@@ -36,18 +36,18 @@
     assert admitted(club, 1_000.0, 10) == 5
 
 
-def test_a_short_wait_takes_the_next_token_ahead():
+def test_a_short_wait_spends_the_next_token_in_advance():
     club = keeper("a", next_view(None, present("a")), 0.0)
     admitted(club, 0.0, 5)
-    answer = club.spend(CLUB, 150.0, 0.0)
-    assert isinstance(answer, Admitted) and answer.wait_ms == 100.0
+    result = club.spend(CLUB, 150.0, 0.0)
+    assert isinstance(result, Admitted) and result.wait_ms == 100.0
     assert isinstance(club.spend(CLUB, 150.0, 0.0), OverRate)
 
 
-def test_a_keeper_whose_proof_is_old_stops():
-    """A keeper cut off from the platform goes on for the fence and no longer.
+def test_a_keeper_with_an_expired_confirmation_stops():
+    """A keeper that is cut off from the platform goes on for the fence and no longer.
 
-    Its heir opens after the fence: both at once would let the customer through at
+    Its successor opens after the fence: both at once would admit the customer at
     twice its rate.
     """
     club = keeper("a", next_view(None, present("a")), 0.0)
@@ -55,33 +55,33 @@
     assert isinstance(club.spend(CLUB, 0.0, FENCE_MS), NotKept)
 
 
-def test_the_heir_of_a_silent_keeper_waits_for_the_fence_and_opens_empty():
-    """A keeper loses power, and the view puts it out.
+def test_the_successor_of_a_silent_keeper_waits_for_the_fence_and_opens_empty():
+    """A keeper loses power, and the view removes it.
 
-    Nobody knows whether it still admits requests on the far side of a cut. A user
-    would notice two bursts within a second.
+    It might still admit requests on the other side of a partition, and a second bucket
+    would give the customer two bursts within a second.
     """
     first, second = by_rank("a", "b")
     view = next_view(None, present("a", "b"))
-    heir = keeper(second, view, 0.0)
-    assert isinstance(heir.spend(CLUB, 0.0, 0.0), NotKept)
+    successor = keeper(second, view, 0.0)
+    assert isinstance(successor.spend(CLUB, 0.0, 0.0), NotKept)
     later = next_view(view, present(second))
-    assert [seat.node.host for seat in later.fenced] == [first]
-    heir.set_view(later, 1_000.0, 1_000.0)
-    assert [seat.node.host for seat in heir.to_clear(CLUB, 1_000.0)] == [first]
-    heir.set_view(later, 3_900.0, 3_900.0)
-    assert isinstance(heir.spend(CLUB, 0.0, 3_900.0), NotKept)
-    heir.set_view(later, 4_001.0, 4_001.0)
-    assert admitted(heir, 4_001.0, 9) == 0
-    heir.set_view(later, 4_201.0, 4_201.0)
-    assert admitted(heir, 4_201.0, 9) == 2
-
-
-def test_the_heir_of_a_restarted_keeper_opens_at_once_and_empty():
-    """A keeper's process is killed and starts again before anyone missed it.
-
-    It has forgotten what it admitted. If it opened with a full burst, each kill
-    would give the customer a burst.
+    assert [entry.node.host for entry in later.fenced] == [first]
+    successor.set_view(later, 1_000.0, 1_000.0)
+    assert [entry.node.host for entry in successor.to_clear(CLUB, 1_000.0)] == [first]
+    successor.set_view(later, 3_900.0, 3_900.0)
+    assert isinstance(successor.spend(CLUB, 0.0, 3_900.0), NotKept)
+    successor.set_view(later, 4_001.0, 4_001.0)
+    assert admitted(successor, 4_001.0, 9) == 0
+    successor.set_view(later, 4_201.0, 4_201.0)
+    assert admitted(successor, 4_201.0, 9) == 2
+
+
+def test_the_successor_of_a_restarted_keeper_opens_at_once_and_empty():
+    """A keeper's process is killed and restarts before its failure is detected.
+
+    The new process does not know what the old one admitted. If it opened with a full
+    burst, each kill would give the customer a burst.
     """
     view = next_view(None, present("a"))
     restarted = {HostId("a"): node("a", "2")}
@@ -96,142 +96,142 @@
 def test_a_joining_keeper_takes_the_bucket_over():
     """A host joins that ranks above the keeper of a customer.
 
-    The former keeper may not have heard of it. It is asked, stops, and its tokens
-    move: a planned change costs the customer nothing and gives it nothing.
+    The previous keeper may not know the new view. On request it stops and hands its
+    tokens over: a planned change neither costs nor gives the customer any quota.
     """
     first, second = by_rank("a", "b")
     view = next_view(None, present(second))
-    former = keeper(second, view, 0.0)
-    assert admitted(former, 0.0, 2) == 2
+    previous_keeper = keeper(second, view, 0.0)
+    assert admitted(previous_keeper, 0.0, 2) == 2
     later = next_view(view, present("a", "b"))
-    heir = keeper(first, later, 0.0)
-    assert isinstance(heir.spend(CLUB, 0.0, 0.0), NotKept)
-    (asked,) = heir.to_clear(CLUB, 0.0)
-    assert asked.node.host == second
-    tokens = former.release(CLUB, later.number, 0.0)
-    assert isinstance(former.spend(CLUB, 0.0, 0.0), NotKept)
-    heir.released(CLUB, asked.key, tokens, 0.0)
-    assert admitted(heir, 0.0, 9) == 3
+    successor = keeper(first, later, 0.0)
+    assert isinstance(successor.spend(CLUB, 0.0, 0.0), NotKept)
+    (pending,) = successor.to_clear(CLUB, 0.0)
+    assert pending.node.host == second
+    tokens = previous_keeper.release(CLUB, later.number, 0.0)
+    assert isinstance(previous_keeper.spend(CLUB, 0.0, 0.0), NotKept)
+    successor.released(CLUB, pending.key, tokens, 0.0)
+    assert admitted(successor, 0.0, 9) == 3
 
 
-def test_a_release_holds_for_one_stay_only():
-    """A keeper is put out, releases, comes back, and is put out again by a cut.
+def test_a_release_counts_for_one_membership_period_only():
+    """A keeper is removed, releases, joins again, and is removed again when cut off.
 
-    Its heir must wait anew: what it released the first time it has had again.
+    Its successor must wait again: the keeper has had the bucket since its release.
     """
     first, second = by_rank("a", "b")
     view = next_view(None, present("a", "b"))
-    heir = keeper(second, next_view(view, present(second)), 0.0)
-    (seat,) = heir.to_clear(CLUB, 0.0)
-    heir.released(CLUB, seat.key, 0.0, 0.0)
-    assert not heir.to_clear(CLUB, 0.0)
-    back = next_view(heir._view, present("a", "b"))
-    again = next_view(back, present(second))
-    heir.set_view(again, 100.0, 100.0)
-    assert [seat.node.host for seat in heir.to_clear(CLUB, 100.0)] == [first]
+    successor = keeper(second, next_view(view, present(second)), 0.0)
+    (entry,) = successor.to_clear(CLUB, 0.0)
+    successor.released(CLUB, entry.key, 0.0, 0.0)
+    assert not successor.to_clear(CLUB, 0.0)
+    back = next_view(successor._view, present("a", "b"))
+    removed_again = next_view(back, present(second))
+    successor.set_view(removed_again, 100.0, 100.0)
+    assert [entry.node.host for entry in successor.to_clear(CLUB, 100.0)] == [first]
 
 
 def test_a_node_that_joins_above_a_silent_keeper_waits_for_it():
-    """A keeper is cut off and put out, and a host that ranks above it joins.
+    """A keeper is cut off and removed, and a host that ranks above it joins.
 
-    The keeper goes on for the fence on its side of the cut, though it ranks lower.
+    The keeper acts for the fence on its side of the partition, though it ranks lower.
     """
     first, second = by_rank("a", "b")
     view = next_view(None, present(second))
-    heir = keeper(first, next_view(view, present(first)), 0.0)
-    assert [seat.node.host for seat in heir.to_clear(CLUB, 0.0)] == [second]
+    successor = keeper(first, next_view(view, present(first)), 0.0)
+    assert [entry.node.host for entry in successor.to_clear(CLUB, 0.0)] == [second]
 
 
-def test_a_proof_that_ran_out_while_views_changed_empties_the_bucket():
-    """A keeper is cut off, another takes over and leaves again, the cut heals.
+def test_a_confirmation_that_expired_while_views_changed_empties_the_bucket():
+    """A keeper is cut off, another one takes over and leaves, the partition heals.
 
-    The tokens that lie at the first one were earned twice meanwhile.
+    The other keeper has spent the same tokens that are left at the first one.
     """
     first, second = by_rank("a", "b")
     view = next_view(None, present(first))
     club = keeper(first, view, 0.0)
     assert admitted(club, 0.0, 1) == 1
-    away = next_view(view, present(second))
-    back = next_view(away, present(first, second))
+    without_first = next_view(view, present(second))
+    back = next_view(without_first, present(first, second))
     club.set_view(back, 9_000.0, 9_000.0)
     assert admitted(club, 9_000.0, 9) == 0
 
 
 @pytest.mark.parametrize("pause_ms", [0.0, 4_000.0, 9_000.0])
-def test_nobody_admits_more_than_rate_and_burst_through_random_changes(pause_ms):
-    """Hosts are cut off, come back and restart while a customer asks, with pauses.
+def test_random_changes_never_admit_more_than_rate_and_burst(pause_ms):
+    """Hosts are cut off, rejoin and restart while a customer sends, with pauses.
 
-    Each node follows the views with its own delay. Whatever the order, all together
+    Each node receives the views with its own delay. In any order, all of them together
     admit no more than the customer's burst and rate in any window.
     """
     for seed in range(40):
-        _play(random.Random(seed), pause_ms)
+        _run_random_changes(random.Random(seed), pause_ms)
 
 
-def _play(draw: random.Random, pause_ms: float) -> None:
+def _run_random_changes(rng: random.Random, pause_ms: float) -> None:
     names = ("a", "b", "c", "d")
-    life = dict.fromkeys(names, 1)
+    incarnations = dict.fromkeys(names, 1)
     nodes = {HostId(n): node(n) for n in names}
     view = next_view(None, nodes)
     keepers = {n: keeper(n, view, 0.0) for n in names}
     cut: dict[str, float] = {}
-    passed: list[float] = []
+    admitted_at: list[float] = []
     for step in range(1, 1_500):
         now_ms = step * 20.0
-        if draw.random() < 0.004:
-            cut[draw.choice(names)] = now_ms + draw.uniform(500, 8_000)
-        if draw.random() < 0.004:
-            name = draw.choice(names)
-            life[name] += 1
-            nodes[HostId(name)] = node(name, str(life[name]))
+        if rng.random() < 0.004:
+            cut[rng.choice(names)] = now_ms + rng.uniform(500, 8_000)
+        if rng.random() < 0.004:
+            name = rng.choice(names)
+            incarnations[name] += 1
+            nodes[HostId(name)] = node(name, str(incarnations[name]))
             keepers[name] = new_keeper(nodes[HostId(name)], now_ms)
         cut = {n: until for n, until in cut.items() if until > now_ms}
-        there = {h: n for h, n in nodes.items() if h not in cut}
-        seats = {seat.node.host: seat.node for seat in view.seats}
-        if seats != there and draw.random() < 0.1 and there:
-            over = set().union(*(keepers[h].over(now_ms) for h in there))
-            view = next_view(view, there, over)
+        reachable = {h: n for h, n in nodes.items() if h not in cut}
+        member_nodes = {entry.node.host: entry.node for entry in view.seats}
+        if member_nodes != reachable and rng.random() < 0.1 and reachable:
+            expired = set().union(*(keepers[h].over(now_ms) for h in reachable))
+            view = next_view(view, reachable, expired)
         for name in names:
-            if name not in cut and draw.random() < 0.3:
+            if name not in cut and rng.random() < 0.3:
                 keepers[name].set_view(view, now_ms, now_ms)
         if now_ms % (pause_ms + 1_000.0) < pause_ms:
             continue
         for name in names:
-            answer = keepers[name].spend(CLUB, 0.0, now_ms)
-            if isinstance(answer, NotKept) and keepers[name].is_heir(CLUB):
-                _clear(name, keepers, nodes, cut, now_ms)
-                answer = keepers[name].spend(CLUB, 0.0, now_ms)
-            if isinstance(answer, Admitted):
-                passed.append(now_ms)
-    for i, since_ms in enumerate(passed):
-        within = [at for at in passed[i:] if at <= since_ms + 5_000.0]
+            result = keepers[name].spend(CLUB, 0.0, now_ms)
+            if isinstance(result, NotKept) and keepers[name].is_heir(CLUB):
+                _collect_releases(name, keepers, nodes, cut, now_ms)
+                result = keepers[name].spend(CLUB, 0.0, now_ms)
+            if isinstance(result, Admitted):
+                admitted_at.append(now_ms)
+    for i, since_ms in enumerate(admitted_at):
+        within = [at for at in admitted_at[i:] if at <= since_ms + 5_000.0]
         assert len(within) <= RULE.burst + RULE.rate_per_s * 5 + 1
 
 
-def _clear(name, keepers, nodes, cut, now_ms) -> None:
+def _collect_releases(name, keepers, nodes, cut, now_ms) -> None:
     number = keepers[name]._view.number
-    for asked in keepers[name].to_clear(CLUB, now_ms):
-        host = asked.node.host
+    for pending in keepers[name].to_clear(CLUB, now_ms):
+        host = pending.node.host
         if host in cut or name in cut:
             continue
         tokens = keepers[host].release(CLUB, number, now_ms)
-        keepers[name].released(CLUB, asked.key, tokens, now_ms)
+        keepers[name].released(CLUB, pending.key, tokens, now_ms)
 
 
 def test_a_new_process_is_not_the_member_that_its_host_was():
-    """A process restarts before any view says so.
+    """A process restarts, and the view does not show it yet.
 
-    The view still names its former life, which has spent the first burst. Opening
-    again would hand out a second one.
+    The view still names the previous process, which has spent the first burst. Opening
+    the bucket again would grant a second one.
     """
     view = next_view(None, present("a"))
-    again = new_keeper(node("a", "2"))
-    again.set_view(view, 0.0, 0.0)
-    assert isinstance(again.spend(CLUB, 0.0, 0.0), NotKept)
+    restarted = new_keeper(node("a", "2"))
+    restarted.set_view(view, 0.0, 0.0)
+    assert isinstance(restarted.spend(CLUB, 0.0, 0.0), NotKept)
 
 
 def test_the_reserve_keeps_within_half_of_the_slack():
-    """A keeper is gone, and each entry serves on its part of the slack."""
+    """A keeper is lost, and each entry serves on its fraction of the slack."""
     names = [f"host-{n}" for n in range(36)]
     view = next_view(None, present(*names))
     spent = 0
@@ -242,7 +242,7 @@
 
 
 def test_a_node_that_has_just_started_spends_no_reserve():
-    """A process is killed and starts again: it has forgotten what it spent."""
+    """A process is killed and restarts without knowing what it has spent."""
     view = next_view(None, present("a"))
     reserve = QuotaReserve(HostId("a"), 5_000.0, 0.0)
     assert not reserve.spend(CLUB, 41.0, view, 4_999.0)
@@ -250,24 +250,24 @@
 
 
 def test_a_customer_over_its_rate_gets_its_whole_bound_in_every_window():
-    """A customer's limit was lowered, and it goes on asking for twice as much.
+    """A customer's limit is lowered, and it goes on sending twice as much.
 
     Its bound is rate and burst in every window of five seconds. Served at the rate
-    alone it would be refused what it is allowed, for as long as it asks.
+    alone, it would be refused requests within its bound for as long as it sends.
     """
     club = keeper("a", next_view(None, present("a")), 0.0)
-    passed = []
+    admitted_at = []
     for step in range(4_000):
         now_ms = step * 10.0
         club.set_view(club._view, now_ms, now_ms)
         if step % 5 == 0 and admitted(club, now_ms, 1):
-            passed.append(now_ms)
+            admitted_at.append(now_ms)
     for span_s in (1, 2, 5):
         bound = RULE.rate_per_s * span_s + RULE.burst
-        for since_ms in passed:
+        for since_ms in admitted_at:
             until_ms = since_ms + span_s * 1e3
-            assert sum(since_ms <= at < until_ms for at in passed) <= bound + 1
-    windows = len(passed) / (40_000.0 / WINDOW_MS)
+            assert sum(since_ms <= at < until_ms for at in admitted_at) <= bound + 1
+    windows = len(admitted_at) / (40_000.0 / WINDOW_MS)
     assert windows >= 0.95 * (RULE.rate_per_s * WINDOW_MS / 1e3 + RULE.burst)
 
 
@@ -283,8 +283,8 @@
     """An operator gives a customer a rate and no burst."""
     club = keeper("a", next_view(None, present("a")), 0.0)
     club.set_rules({CLUB: CustomerRule(CLUB, rate_per_s=10.0)})
-    passed = 0
+    admitted_count = 0
     for step in range(500):
         club.set_view(club._view, step * 20.0, step * 20.0)
-        passed += admitted(club, step * 20.0, 1)
-    assert 95 <= passed <= 101
+        admitted_count += admitted(club, step * 20.0, 1)
+    assert 95 <= admitted_count <= 101
