--- a/src/crocusspindle/core/repeat_budget.py
+++ b/src/crocusspindle/core/repeat_budget.py
@@ -1,4 +1,4 @@
-"""Bound the repeated sendings to one service over a sliding window."""
+"""Bound the retries to one service over a sliding window; hedges count as retries."""
 
 import math
 from collections import deque
@@ -7,107 +7,117 @@
 
 from crocusspindle.core.repeat_record import RepeatRecord, Slot
 
-EXTRA_PARTS: Final = (0.7, 0.12, 0.05)
-"""Parts of the fixed allowance that placers use, by their rank for the service. Entries
-that get no word from the first ask the next: all of them must fit into the whole."""
+EXTRA_FRACTIONS: Final = (0.7, 0.12, 0.05)
+"""Fractions of the fixed allowance that placers use, by rank for the service. Nodes
+that get no response from the first placer use the next: the sum must not exceed 1."""
 
-FIRST_EXTRA_PART: Final = 0.1
-"""Part that a placer uses while it does not know what its predecessors used, and both
-must fit into the whole."""
+UNKNOWN_EXTRA_FRACTION: Final = 0.1
+"""Fraction that a placer uses until it knows what its predecessors used: added to
+theirs, it must stay within the allowance."""
 
-RATIO_PART: Final = 0.9
-"""Part of the ratio that is used; the rest covers repeats whose request was counted
-at the edge of another window, and all that a placer uses of the ratio while it does
-not know what its predecessors used."""
+RATIO_FRACTION: Final = 0.9
+"""Fraction of the ratio in use. The rest covers retries whose request was counted at
+the edge of another window, and is all that a placer uses of the ratio until it knows
+what its predecessors used."""
 
 SLOTS: Final = 20
-"""Parts of the window by which placers tell one another what they counted."""
+"""Time slots of a window in the counts that placers publish to one another."""
 
-HEARD_MS: Final = 1_500.0
-"""A placer that takes over and heard its predecessor this recently knows its counts."""
+KNOWN_PREDECESSOR_MS: Final = 1_500.0
+"""Age of the last record received at which a successor still knows the predecessor's
+counts."""
 
-TELL_MS: Final = 250.0
-UNTOLD_PART: Final = 0.02
-"""Part of the bound that a placer uses before it tells the others: what a placer that
-is lost has not told is used once more by its successor."""
+PUBLISH_INTERVAL_MS: Final = 250.0
+UNPUBLISHED_FRACTION: Final = 0.02
+"""Fraction of the bound that a placer uses before it publishes its counts: when a
+placer is lost, its successor uses the unpublished retries once more."""
 
 
 class RepeatBudget:
-    """Count requests and repeats of one service, with those of its other placers.
+    """Count a service's requests and retries, including those of its other placers.
 
-    The load is a service most of whose targets refuse or fail: each request would be
-    sent several times, and the service gets several times its load just when it can
-    carry least. Above the bound a repeat is refused and the caller told so.
+    When most targets of a service refuse or fail, each request would be sent several
+    times: the service would get several times its load when its capacity is lowest.
+    Above the bound a retry is refused, and the refusal names the reason.
 
-    The duty moves to another host when one comes, leaves or is silent. A placer that
-    knew only its own counts would allow a share of its own requests beside what its
-    predecessor had used of the same window.
+    The role of the placer moves to another host when a host joins, leaves or is silent.
+    With its own counts only, the new placer would allow a fraction of its own requests
+    in addition to the retries of its predecessor in the same window.
     """
 
     def __init__(self, ratio: float, extra: float, window_ms: float) -> None:
         self._ratio = ratio
         self._extra = extra
         self._since_ms = math.nan
-        self._heard_ms = -math.inf
+        self._received_ms = -math.inf
         self._window_ms = window_ms
         self._rank = 0
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
         self._number = 0
-        self._told_ms = -math.inf
-        self._untold = 0
+        self._published_ms = -math.inf
+        self._unpublished = 0
         self._others: dict[str, RepeatRecord] = {}
 
     def knows_since(self, since_ms: float) -> None:
-        """Note that all that was placed from a time on was placed or told here."""
+        """Record that all placements since a time were made or received here."""
         if math.isnan(self._since_ms) or since_ms < self._since_ms:
             self._since_ms = since_ms
 
     def set_rank(self, rank: int, now_ms: float) -> None:
-        """Note this placer's rank; who moves up may not know what was used there."""
-        if rank < self._rank and now_ms - self._heard_ms > HEARD_MS:
+        """Set this placer's rank; on a higher one, earlier retries may be unknown."""
+        if rank < self._rank and now_ms - self._received_ms > KNOWN_PREDECESSOR_MS:
             self._since_ms = now_ms
         self._rank = rank
 
     def request(self, now_ms: float) -> None:
-        """Note a request's first sending."""
+        """Count a request's first attempt."""
         if math.isnan(self._since_ms):
             self._since_ms = now_ms
         self._requests.append(now_ms)
 
     def repeat(self, now_ms: float) -> bool:
-        """Take one repeat; return False if the window allows no more."""
+        """Count one retry; return False if the window allows no more."""
         self._forget(now_ms)
         if self._used(now_ms) + 1 > self._allowed(now_ms):
             return False
-        self._repeats.append(now_ms)
-        self._untold += 1
+        self._retries.append(now_ms)
+        self._unpublished += 1
         return True
 
     def is_due_to_tell(self, now_ms: float) -> bool:
-        """Return True if the other placers should hear what was counted here."""
-        if self._untold and self._untold > UNTOLD_PART * self._allowed(now_ms):
+        """Return True if this placer should publish its counts to the others."""
+        if (
+            self._unpublished
+            and self._unpublished > UNPUBLISHED_FRACTION * self._allowed(now_ms)
+        ):
             return True
-        return now_ms - self._told_ms >= TELL_MS and bool(self._requests)
+        return now_ms - self._published_ms >= PUBLISH_INTERVAL_MS and bool(
+            self._requests
+        )
 
     def _used(self, now_ms: float) -> int:
         since_ms = now_ms - self._window_ms
-        told = (record.repeats_since(since_ms) for record in self._others.values())
-        return len(self._repeats) + sum(told)
+        counts_of_others = (
+            record.repeats_since(since_ms) for record in self._others.values()
+        )
+        return len(self._retries) + sum(counts_of_others)
 
     def _allowed(self, now_ms: float) -> float:
         since_ms = now_ms - self._window_ms
-        part = EXTRA_PARTS[min(self._rank, len(EXTRA_PARTS) - 1)]
+        fraction = EXTRA_FRACTIONS[min(self._rank, len(EXTRA_FRACTIONS) - 1)]
         if not self._since_ms <= since_ms:
-            spare = self._ratio * (1.0 - RATIO_PART) * len(self._requests)
-            return spare + self._extra * min(part, FIRST_EXTRA_PART)
-        told = (record.requests_since(since_ms) for record in self._others.values())
-        requests = len(self._requests) + sum(told)
-        return self._ratio * RATIO_PART * requests + self._extra * part
+            spare = self._ratio * (1.0 - RATIO_FRACTION) * len(self._requests)
+            return spare + self._extra * min(fraction, UNKNOWN_EXTRA_FRACTION)
+        counts_of_others = (
+            record.requests_since(since_ms) for record in self._others.values()
+        )
+        requests = len(self._requests) + sum(counts_of_others)
+        return self._ratio * RATIO_FRACTION * requests + self._extra * fraction
 
     def _forget(self, now_ms: float) -> None:
         since_ms = now_ms - self._window_ms
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] <= since_ms:
                 times.popleft()
         gone = [
@@ -119,29 +129,29 @@
             del self._others[origin]
 
     def give_back(self) -> None:
-        """Return the newest repeat, which was not sent for want of a slot."""
-        if self._repeats:
-            self._repeats.pop()
+        """Uncount the newest retry, which was not sent because no slot was free."""
+        if self._retries:
+            self._retries.pop()
 
     def state(self, now_ms: float) -> tuple[int, float]:
-        """Return how many repeats were used in the window, and how many it allows."""
+        """Return the retries used in the window, and the number that it allows."""
         return self._used(now_ms), self._allowed(now_ms)
 
     def known_ms(self, now_ms: float) -> float:
-        """Return for how long all that was placed is known here."""
+        """Return for how long back all placements are known here."""
         if math.isnan(self._since_ms):
             return 0.0
         return min(self._window_ms, now_ms - self._since_ms)
 
     def records(self, own: str, now_ms: float) -> list[RepeatRecord]:
-        """Return what was counted here under a name of its own, and by others."""
+        """Return the counts of this placer, under its own name, and of the others."""
         self._forget(now_ms)
-        self._told_ms = now_ms
-        self._untold = 0
+        self._published_ms = now_ms
+        self._unpublished = 0
         self._number += 1
-        slots = _slots(self._requests, self._repeats, self._window_ms / SLOTS, now_ms)
-        mine = [RepeatRecord(own, self._number, slots)] if slots else []
-        return mine + list(self._others.values())
+        slots = _slots(self._requests, self._retries, self._window_ms / SLOTS, now_ms)
+        own_records = [RepeatRecord(own, self._number, slots)] if slots else []
+        return own_records + list(self._others.values())
 
     def hear(
         self,
@@ -150,29 +160,29 @@
         known_ms: float,
         now_ms: float,
     ) -> None:
-        """Take over what another placer told, which knew all for a time."""
+        """Merge another placer's records; it knew all placements for ``known_ms``."""
         for record in records:
-            held = self._others.get(record.origin)
-            if record.origin != own and (held is None or held.number < record.number):
+            known = self._others.get(record.origin)
+            if record.origin != own and (known is None or known.number < record.number):
                 self._others[record.origin] = record
-        self._heard_ms = now_ms
+        self._received_ms = now_ms
         if known_ms > 0.0:
             self.knows_since(now_ms - known_ms)
 
 
 def _slots(
     requests: Iterable[float],
-    repeats: Iterable[float],
+    retries: Iterable[float],
     length_ms: float,
     now_ms: float,
 ) -> tuple[Slot, ...]:
     counts: dict[int, list[int]] = {}
-    for place, times in enumerate((requests, repeats)):
+    for column, times in enumerate((requests, retries)):
         for time_ms in times:
             number = int((now_ms - time_ms) / length_ms)
-            counts.setdefault(number, [0, 0])[place] += 1
+            counts.setdefault(number, [0, 0])[column] += 1
     return tuple(
-        # All of a slot counts as of its end: forgotten too late rather than too early.
+        # A slot counts as of its end, and so expires too late rather than too early.
         Slot(now_ms - number * length_ms, *counts[number])
         for number in sorted(counts)
     )
--- a/src/crocusspindle/core/repeat_record.py
+++ b/src/crocusspindle/core/repeat_record.py
@@ -1,4 +1,4 @@
-"""Hold what one placer counted of a service's requests and repeats."""
+"""Hold one placer's counts of a service's requests and retries."""
 
 import math
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """Count what was sent in a part of the window that ended at a time."""
+    """Hold the counts of one time slot of the window, up to its end."""
 
     ended_ms: float
     requests: int
@@ -28,9 +28,9 @@
         return max((slot.ended_ms for slot in self.slots), default=-math.inf)
 
     def requests_since(self, since_ms: float) -> int:
-        """Return how many requests were sent for the first time since then."""
+        """Return the count of first attempts since a time."""
         return sum(slot.requests for slot in self.slots if slot.ended_ms > since_ms)
 
     def repeats_since(self, since_ms: float) -> int:
-        """Return how many sendings were repeats since then."""
+        """Return the count of retries since a time."""
         return sum(slot.repeats for slot in self.slots if slot.ended_ms > since_ms)
--- a/tests/core/test_rate_limit.py
+++ b/tests/core/test_rate_limit.py
@@ -1,11 +1,11 @@
-"""See a target's limit kept, renewed and ended by what its answers say."""
+"""Test that a target's rate limit is kept, renewed and cleared by its responses."""
 
 import pytest
 
 from crocusspindle.core.listed_target import TargetIdentity
 from crocusspindle.core.rate_limit import (
-    ANSWERS_WITHOUT_LIMIT,
-    LEAST_PER_S,
+    MIN_PER_S,
+    RESPONSES_WITHOUT_LIMIT,
     LimitReport,
     RateLimit,
 )
@@ -18,13 +18,13 @@
 
 
 def limited(limit_per_s):
-    made = RateLimit()
-    made.take(report(limit_per_s, 0.0), 0.0)
-    return made
+    limit = RateLimit()
+    limit.take(report(limit_per_s, 0.0), 0.0)
+    return limit
 
 
 def sent_in(limit, for_ms, step_ms=10):
-    """Send whenever the limit allows, and return when."""
+    """Send whenever the limit allows, and return the times."""
     times = []
     for at_ms in range(0, for_ms, step_ms):
         if limit.allows(at_ms):
@@ -36,13 +36,13 @@
 @pytest.mark.parametrize("limit_per_s", [0.5, 1.0, 1.7, 4.0, 20.0])
 def test_no_four_seconds_hold_much_more_than_the_limit(limit_per_s):
     times = sent_in(limited(limit_per_s), 30_000)
-    most = max(sum(at <= other < at + 4_000 for other in times) for at in times)
-    assert most <= 4.5 * limit_per_s + 1.0
+    worst = max(sum(at <= other < at + 4_000 for other in times) for at in times)
+    assert worst <= 4.5 * limit_per_s + 1.0
     assert len(times) >= 0.9 * 30.0 * limit_per_s - 1.0
 
 
-def test_a_pause_is_made_up_for_a_little_only():
-    """Guards against a burst of all that a target did not get before."""
+def test_a_pause_allows_only_a_small_burst():
+    """Guards against a burst of all requests that were possible in a pause."""
     limit = limited(10.0)
     allowed = 0
     while limit.allows(60_000.0):
@@ -51,39 +51,39 @@
     assert allowed == 5
 
 
-def test_a_limit_that_was_just_learnt_begins_without_room():
-    """Guards against a placer that takes over and sends what its forerunner has."""
+def test_a_new_limit_begins_without_tokens():
+    """Guards against a new placer that repeats what its predecessor just sent."""
     assert not limited(1.0).allows(0.0)
     assert limited(1.0).allows(1_000.0)
 
 
-def test_what_another_placer_sent_counts():
+def test_requests_of_other_placers_count():
     limit = limited(1.0)
     limit.sent(1_000.0)
     assert not limit.allows(1_000.0)
 
 
-def test_an_older_answer_does_not_undo_a_newer_limit():
-    """Guards against answers that overtake one another."""
+def test_an_older_response_does_not_replace_a_newer_limit():
+    """Guards against responses that arrive out of order."""
     limit = limited(10.0)
     assert limit.take(report(1.0, 2_000.0), 2_100.0)
     assert not limit.take(report(10.0, 1_000.0), 2_200.0)
-    for _ in range(ANSWERS_WITHOUT_LIMIT + 1):
+    for _ in range(RESPONSES_WITHOUT_LIMIT + 1):
         assert not limit.take(report(None, 1_900.0), 2_300.0)
     assert limit.limit_per_s == pytest.approx(1.0)
 
 
-def test_answers_without_a_limit_end_it():
+def test_responses_without_a_limit_clear_it():
     limit = limited(1.0)
     ended = [
         limit.take(report(None, 100.0 + n), 200.0 + n)
-        for n in range(ANSWERS_WITHOUT_LIMIT)
+        for n in range(RESPONSES_WITHOUT_LIMIT)
     ]
-    assert ended == [False] * (ANSWERS_WITHOUT_LIMIT - 1) + [True]
+    assert ended == [False] * (RESPONSES_WITHOUT_LIMIT - 1) + [True]
     assert not limit.holds and limit.allows(300.0)
 
 
-def test_an_answer_that_names_it_again_renews_it():
+def test_a_response_that_names_the_limit_again_renews_it():
     limit = limited(1.0)
     limit.take(report(None, 100.0), 150.0)
     limit.take(report(1.0, 200.0), 250.0)
@@ -91,7 +91,7 @@
     assert limit.holds
 
 
-def test_a_target_that_takes_nothing_is_asked_now_and_then():
-    """Guards against a limit that nobody can hear the end of."""
+def test_a_target_with_a_limit_of_zero_is_probed():
+    """Guards against a limit whose end goes unnoticed for want of requests."""
     times = sent_in(limited(0.0), 60_000)
-    assert len(times) == pytest.approx(60.0 * LEAST_PER_S, abs=1)
+    assert len(times) == pytest.approx(60.0 * MIN_PER_S, abs=1)
--- a/tests/core/test_repeats_across_placers.py
+++ b/tests/core/test_repeats_across_placers.py
@@ -1,4 +1,4 @@
-"""Hold the bound on repeats while the duty of placing moves from host to host."""
+"""Test the bound on retries while the role of the placer moves between hosts."""
 
 import pytest
 
@@ -12,36 +12,36 @@
 WINDOW_MS = 10_000.0
 REQUESTS_PER_S = 500
 CALM_S = 20
-TROUBLE_S = 20
+INCIDENT_S = 20
 
 
 class Placers:
-    """Hold the counts of several placers of a service, one of which is asked."""
+    """Hold the budgets of several placers of a service, one of which gets requests."""
 
     def __init__(self, count: int) -> None:
         self.budgets = [RepeatBudget(RATIO, EXTRA, WINDOW_MS) for _ in range(count)]
         self.first = 0
         self.requests: list[float] = []
-        self.repeats: list[float] = []
+        self.retries: list[float] = []
         self.rank(0, 0.0)
 
     def rank(self, first: int, now_ms: float) -> None:
-        """Make a placer the first by rank, the others follow in their order."""
+        """Rank one placer first; the others follow in their order."""
         self.first = first
         for number, budget in enumerate(self.budgets):
             budget.set_rank((number - first) % len(self.budgets), now_ms)
 
-    def tell(self, from_: int, now_ms: float) -> None:
-        """Let a placer tell the others what it counted."""
-        budget = self.budgets[from_]
-        records = budget.records(f"p{from_}", now_ms)
+    def publish(self, sender: int, now_ms: float) -> None:
+        """Publish a placer's counts to the others."""
+        budget = self.budgets[sender]
+        records = budget.records(f"p{sender}", now_ms)
         for number, other in enumerate(self.budgets):
-            if number != from_:
+            if number != sender:
                 known_ms = budget.known_ms(now_ms)
                 other.hear(f"p{number}", records, known_ms, now_ms)
 
     def pass_time(self, from_s: float, to_s: float, refused: bool) -> None:
-        """Send requests; each is repeated three times if targets refuse them."""
+        """Send requests; each is retried three times if targets refuse them."""
         step_ms = 1_000.0 / REQUESTS_PER_S
         now_ms = from_s * 1e3
         while now_ms < to_s * 1e3:
@@ -50,79 +50,79 @@
             self.requests.append(now_ms)
             for _ in range(3 if refused else 0):
                 if budget.repeat(now_ms):
-                    self.repeats.append(now_ms)
+                    self.retries.append(now_ms)
                 if budget.is_due_to_tell(now_ms):
-                    self.tell(self.first, now_ms)
+                    self.publish(self.first, now_ms)
             now_ms += step_ms
 
-    def most_beyond(self) -> float:
-        """Return by how much the worst window goes beyond the bound."""
-        starts = sorted({0.0, *self.repeats})[:: len(self.budgets)]
-        return max(self._beyond(start) for start in starts)
+    def max_excess(self) -> float:
+        """Return by how much the worst window exceeds the bound."""
+        starts = sorted({0.0, *self.retries})[:: len(self.budgets)]
+        return max(self._excess(start) for start in starts)
 
-    def _beyond(self, start_ms: float) -> float:
+    def _excess(self, start_ms: float) -> float:
         def count(times: list[float], at_ms: float) -> int:
             return sum(at_ms <= time < at_ms + WINDOW_MS for time in times)
 
-        befores = (start_ms, start_ms - WINDOW_MS / 2, start_ms - WINDOW_MS)
-        requests = max(count(self.requests, at) for at in befores)
-        return count(self.repeats, start_ms) - RATIO * requests - EXTRA
+        request_starts = (start_ms, start_ms - WINDOW_MS / 2, start_ms - WINDOW_MS)
+        requests = max(count(self.requests, at) for at in request_starts)
+        return count(self.retries, start_ms) - RATIO * requests - EXTRA
 
 
 @pytest.mark.parametrize("every_s", [0.5, 2.0, 5.0])
-def test_repeats_stay_within_the_bound_while_placers_change(every_s):
-    """Most targets of a service refuse their work, and the view of the members changes.
-
-    With each change another host places for the service. It counted the requests that
-    came to itself and let a fifth of them be repeated, while its predecessor had let
-    as many through a moment before: the service got half as many repeats again as the
-    bound allows, just when it could carry least. The counts stayed where they were
-    when the duty moved; told to whoever may take over, they stay below the bound.
+def test_retries_stay_within_the_bound_while_placers_change(every_s):
+    """Most targets of a service refuse requests, and the member view changes.
+
+    Each change moves the role of the placer to another host. If the new placer counts
+    only its own requests, it allows retries for a fifth of them right after its
+    predecessor did the same: the service gets half as many retries again as the bound
+    allows, when its capacity is lowest. With the counts published to the possible
+    successors, the retries stay within the bound.
     """
     placers = Placers(3)
     placers.pass_time(0.0, CALM_S, refused=False)
     now_s = float(CALM_S)
-    while now_s < CALM_S + TROUBLE_S:
+    while now_s < CALM_S + INCIDENT_S:
         placers.pass_time(now_s, now_s + every_s, refused=True)
         now_s += every_s
         placers.rank((placers.first + 1) % 3, now_s * 1e3)
-    assert placers.most_beyond() <= 0.0
+    assert placers.max_excess() <= 0.0
 
 
-def test_a_request_that_came_by_a_slow_placer_is_counted_once():
-    """The first placer is slow, and its entries ask the second one as well.
+def test_a_request_that_also_went_to_a_slow_placer_is_counted_once():
+    """The first placer is slow, and the entries send their requests to the second too.
 
-    Counted by both, each request earned the service two shares of a repeat.
+    Counted by both, each request would add to the allowance for retries twice.
     """
-    asked = Ask(
+    placement_request = Ask(
         HostId("entry"), DomainId("a"), "r", False, 1, 800.0, 2_000.0, counted=True
     )
     budget = RepeatBudget(RATIO, 0.0, WINDOW_MS)
     budget.knows_since(-2 * WINDOW_MS)
     placer = ServicePlacer(0.7, budget)
     for now_ms in range(100):
-        placer.ask(asked, float(now_ms))
+        placer.ask(placement_request, float(now_ms))
     assert not budget.repeat(100.0)
 
 
-def test_a_placer_that_is_lost_leaves_little_unknown():
-    """The first placer loses power in the middle of trouble, between two tellings.
+def test_a_lost_placer_leaves_few_retries_unpublished():
+    """The first placer loses power during an incident, between two publications.
 
-    What it had not told is used once more by the next. The bound holds all the same.
+    The next placer uses the unpublished retries once more. The bound still holds.
     """
     placers = Placers(3)
     placers.pass_time(0.0, CALM_S, refused=False)
     placers.pass_time(CALM_S, CALM_S + 1.1, refused=True)
     placers.rank(1, (CALM_S + 1.1) * 1e3)
     placers.pass_time(CALM_S + 1.1, CALM_S + 12.0, refused=True)
-    assert placers.most_beyond() <= 0.0
-    assert len(placers.repeats) > 0.7 * RATIO * REQUESTS_PER_S * 10.0
+    assert placers.max_excess() <= 0.0
+    assert len(placers.retries) > 0.7 * RATIO * REQUESTS_PER_S * 10.0
 
 
-def test_a_placer_that_nobody_told_repeats_little():
-    """All three that are told lose power together, and a fourth takes over.
+def test_a_placer_without_received_counts_allows_few_retries():
+    """All three placers that share counts lose power together; a fourth takes over.
 
-    They may have used the whole bound a moment before.
+    The three may have used the whole bound just before.
     """
     budget = RepeatBudget(RATIO, EXTRA, WINDOW_MS)
     used = 0
--- a/tests/core/test_repeats_and_doubt.py
+++ b/tests/core/test_repeats_and_doubt.py
@@ -1,4 +1,4 @@
-"""Bound repeats over a window, weigh the age of work, and choose without a placer."""
+"""Test the retry budget, suspicion by latency, and the choice without a placer."""
 
 import random
 
@@ -17,80 +17,79 @@
 WINDOW_MS = 10_000.0
 
 
-def repeats(budget: RepeatBudget, from_ms: float, to_ms: float) -> int:
-    """Ask for a repeat of each of 40 requests a second."""
-    taken = 0
+def allowed_retries(budget: RepeatBudget, from_ms: float, to_ms: float) -> int:
+    """Try to retry each of 40 requests a second, and return the retries allowed."""
+    allowed = 0
     now_ms = from_ms
     while now_ms < to_ms:
         budget.request(now_ms)
-        taken += budget.repeat(now_ms)
+        allowed += budget.repeat(now_ms)
         now_ms += 25.0
-    return taken
+    return allowed
 
 
-def test_two_placers_in_a_row_keep_within_the_fleets_bound():
-    """A placer is lost while every request is refused once, and its heir goes on.
+def test_a_placer_and_its_successor_keep_within_the_fleets_bound():
+    """A placer is lost while every request is refused once, and its successor goes on.
 
-    The heir does not know what was repeated before. With a whole allowance of its
-    own, the service would get half as many repeats again in the middle of trouble.
+    The successor does not know the earlier retries. With a whole allowance of its own,
+    the service would get half as many retries again during an incident.
     """
     first = RepeatBudget(0.2, 58.0, WINDOW_MS)
-    repeats(first, 0.0, WINDOW_MS)
-    before = repeats(first, WINDOW_MS, WINDOW_MS + 5_000.0)
-    heir = RepeatBudget(0.2, 58.0, WINDOW_MS)
-    after = repeats(heir, WINDOW_MS + 5_000.0, 2 * WINDOW_MS)
+    allowed_retries(first, 0.0, WINDOW_MS)
+    before = allowed_retries(first, WINDOW_MS, WINDOW_MS + 5_000.0)
+    successor = RepeatBudget(0.2, 58.0, WINDOW_MS)
+    after = allowed_retries(successor, WINDOW_MS + 5_000.0, 2 * WINDOW_MS)
     assert before + after <= 0.2 * 400 + 58
 
 
 def test_placers_of_all_ranks_keep_within_the_fleets_bound_together():
-    """Some entries get no word from the first placer and ask the second or the third.
+    """Some entries get no response from the first placer and use the second or third.
 
-    Each counts by itself. With a whole allowance each, the service would get twice its
-    bound of repeats while its entries are cut off from one another.
+    Each placer counts by itself. With a whole allowance each, the service would get
+    twice its bound of retries while its entries are cut off from one another.
     """
     budgets = [RepeatBudget(0.2, 58.0, WINDOW_MS) for _ in range(4)]
     for rank, budget in enumerate(budgets):
         budget.set_rank(rank, 0.0)
-        repeats(budget, 0.0, 2 * WINDOW_MS)
-    used = [repeats(b, 2 * WINDOW_MS, 3 * WINDOW_MS) for b in budgets[:3]]
+        allowed_retries(budget, 0.0, 2 * WINDOW_MS)
+    used = [allowed_retries(b, 2 * WINDOW_MS, 3 * WINDOW_MS) for b in budgets[:3]]
     assert sum(used) <= 0.2 * 3 * 400 + 58
 
 
-def test_a_placer_that_moves_up_does_not_take_its_predecessors_part_at_once():
-    """The first placer is lost in the middle of trouble, and the second has long been
-    asked by some.
+def test_a_placer_that_moves_up_does_not_use_its_predecessors_fraction_at_once():
+    """The first placer is lost during an incident; some nodes use the second already.
 
-    It knows its own repeats and not those of the one before it.
+    The second placer knows its own retries, but not those of the first.
     """
     first, second = (RepeatBudget(0.2, 58.0, WINDOW_MS) for _ in range(2))
     second.set_rank(1, 0.0)
-    repeats(first, 0.0, WINDOW_MS)
-    repeats(second, 0.0, WINDOW_MS)
-    before = repeats(first, WINDOW_MS, WINDOW_MS + 5_000.0)
+    allowed_retries(first, 0.0, WINDOW_MS)
+    allowed_retries(second, 0.0, WINDOW_MS)
+    before = allowed_retries(first, WINDOW_MS, WINDOW_MS + 5_000.0)
     second.set_rank(0, WINDOW_MS + 5_000.0)
-    after = repeats(second, WINDOW_MS + 5_000.0, 2 * WINDOW_MS)
+    after = allowed_retries(second, WINDOW_MS + 5_000.0, 2 * WINDOW_MS)
     assert before + after <= 0.2 * 400 + 58
 
 
 def test_a_placer_that_knows_its_window_uses_most_of_the_bound():
     budget = RepeatBudget(0.2, 58.0, WINDOW_MS)
-    repeats(budget, 0.0, 2 * WINDOW_MS)
-    used = repeats(budget, 2 * WINDOW_MS, 3 * WINDOW_MS)
+    allowed_retries(budget, 0.0, 2 * WINDOW_MS)
+    used = allowed_retries(budget, 2 * WINDOW_MS, 3 * WINDOW_MS)
     assert 0.8 * (0.2 * 400 + 58) <= used <= 0.2 * 400 + 58
 
 
-def test_doubt_is_one_nat_on_average_whatever_the_work():
-    draw = random.Random(5)
+def test_suspicion_is_one_nat_on_average_for_healthy_latencies():
+    rng = random.Random(5)
     sample = LatencySample(200.0)
     for _ in range(200):
-        sample.add(draw.lognormvariate(5.0, 0.8))
-    doubts = [sample.doubt_nats(draw.lognormvariate(5.0, 0.8)) for _ in range(2_000)]
-    assert sum(doubts) / len(doubts) == pytest.approx(1.0, abs=0.15)
+        sample.add(rng.lognormvariate(5.0, 0.8))
+    suspicions = [sample.doubt_nats(rng.lognormvariate(5.0, 0.8)) for _ in range(2_000)]
+    assert sum(suspicions) / len(suspicions) == pytest.approx(1.0, abs=0.15)
     assert sample.doubt_nats(60_000.0) > 5.0
 
 
-def test_too_few_samples_raise_no_doubt():
-    """A service has just come up; its first long work is no sign of anything."""
+def test_too_few_samples_raise_no_suspicion():
+    """A service has just started; its first long request is no sign of a failure."""
     sample = LatencySample(200.0)
     sample.add(10.0)
     assert sample.doubt_nats(5_000.0) == 0.0
@@ -103,8 +102,8 @@
     )
 
 
-def test_without_a_placer_what_failed_here_and_what_leaves_is_avoided():
-    """A node is cut off from all its peers, and serves on what it knows."""
+def test_without_a_placer_failed_and_draining_targets_are_avoided():
+    """A node is cut off from all its peers, and serves with its own knowledge."""
     choice = FallbackChoice(random.Random(2))
     targets = [listed("t1"), listed("t2"), listed("t3", Readiness.DRAINING)]
     choice.avoid(TargetIdentity("t1"), 1_000.0)
@@ -113,7 +112,7 @@
     assert chosen >= {"t1"}
 
 
-def test_without_a_placer_slots_are_kept_by_own_count():
+def test_without_a_placer_slots_are_limited_by_the_nodes_own_count():
     choice = FallbackChoice(random.Random(2))
     targets = [listed("t1")]
     for _ in range(2):
