--- a/src/crocusspindle/core/crash_record.py
+++ b/src/crocusspindle/core/crash_record.py
@@ -1,4 +1,4 @@
-"""Hold which targets ended while they ran a request."""
+"""Record which targets crashed while they ran a request."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -8,13 +8,13 @@
 from crocusspindle.ids import ContentDigest
 
 SAME_CRASH_MS: Final = 1_000.0
-"""Reports of one crash come within this; the next one under the same identity takes a
-restart in between."""
+"""Reports of one crash arrive within this time; another crash under the same identity
+needs a restart in between."""
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """Tell when a target ended, and whether it ran nothing else."""
+    """Hold when a target crashed, and whether the request ran there alone."""
 
     target: TargetIdentity
     at_ms: float
@@ -22,15 +22,15 @@
 
     def is_same(self, other: "Crash") -> bool:
         """Return True if both report one crash."""
-        near = abs(self.at_ms - other.at_ms) <= SAME_CRASH_MS
-        return near and self.target == other.target
+        is_close = abs(self.at_ms - other.at_ms) <= SAME_CRASH_MS
+        return is_close and self.target == other.target
 
 
 @dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """Hold what is known of one request; a higher generation replaces a lower one.
+    """Hold the crashes of one request; a higher generation replaces a lower one.
 
-    `last_ms` is the time of the last crash, trial or answer.
+    `last_ms` is the time of the last crash, trial or response.
     """
 
     content: ContentDigest
@@ -42,11 +42,11 @@
 
     @property
     def is_shared(self) -> bool:
-        """Return True if every host has to know the record."""
+        """Return True if the record has to be replicated to every host."""
         return self.was_shared or len(self.crashes) > 1
 
     def with_crash(self, crash: Crash) -> "CrashRecord":
-        """Return the record with one more crash, itself if it knows it."""
+        """Return the record with one more crash, itself if the crash is known."""
         crashes = _union((*self.crashes, crash))
         if crashes == self.crashes:
             return self
@@ -55,7 +55,7 @@
         return replace(self, crashes=crashes, last_ms=last_ms)
 
     def merged(self, other: "CrashRecord") -> "CrashRecord":
-        """Return what both records together say."""
+        """Return the union of both records."""
         if self.generation != other.generation:
             return max(self, other, key=lambda record: record.generation)
         return CrashRecord(
@@ -72,7 +72,7 @@
     found: list[Crash] = []
     for crash in sorted(crashes, key=lambda crash: (crash.target, crash.at_ms)):
         if found and found[-1].is_same(crash):
-            # Whoever saw more at the target knows that the request was not alone.
+            # A report that saw other requests there proves that this one was not alone.
             alone = found[-1].alone and crash.alone
             found[-1] = replace(found[-1], alone=alone)
         else:
--- a/src/crocusspindle/core/crash_table.py
+++ b/src/crocusspindle/core/crash_table.py
@@ -1,9 +1,9 @@
-"""Know which requests crash the targets that run them, and hold those back.
+"""Quarantine the requests that crash the targets that run them.
 
-The load is one request, repeated by its caller at any host, under which every target
-that runs it ends. Each end also breaks what else runs there, so that many innocent
-requests look alike after one crash. What ran there runs alone the next time: an
-answer clears it, a second crash under it alone holds it back.
+One request may crash every target that runs it, and its caller retries it at any host.
+Each crash also breaks the other requests at the target, so that after one crash many
+innocent requests look alike. Each of them runs alone the next time: a response clears
+it, a second crash while it runs alone puts it into quarantine (the request is held).
 """
 
 from collections.abc import Iterable
@@ -16,13 +16,13 @@
 from crocusspindle.ids import ContentDigest
 
 CRASHES_ALONE: Final = 2
-"""Crashes that hold a request, one of which came while it ran alone."""
+"""Crashes that quarantine a request, at least one of them while it ran alone."""
 
 CRASHES_WITH_OTHERS: Final = 3
 FIRST_HOLD_MS: Final = 15_000.0
 HOLD_FACTOR: Final = 4.0
-TRIALS_MOST: Final = 3
-"""Trials of a held request; after the last it stays held until it is forgotten."""
+MAX_TRIALS: Final = 3
+"""Trials of a held request; after the last it is held until its record expires."""
 
 FORGET_MS: Final = 86_400_000.0
 RECORDS_MAX: Final = 4_096
@@ -30,7 +30,7 @@
 
 
 class Isolation(Enum):
-    """Tell how a request is kept apart from others' work at a target."""
+    """Define how a request is isolated from other requests at a target."""
 
     NONE = "none"
     PREFERRED = "preferred"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashReport:
-    """Tell of a target that ended, and of all that ran there."""
+    """Report the crash of a target, with all requests that ran there."""
 
     target: TargetIdentity
     contents: frozenset[ContentDigest]
@@ -48,7 +48,7 @@
 class CrashTable:
     """Hold the record of each request under which targets have crashed.
 
-    All times are by the wall clock, which hosts share and which outlives a process.
+    All times are wall-clock times, which hosts share and which survive a restart.
     """
 
     def __init__(self) -> None:
@@ -63,13 +63,13 @@
         return self._records.get(content)
 
     def shared(self) -> list[CrashRecord]:
-        """Return the records that every host has to know, in a fixed order."""
+        """Return the records that every host needs, in a fixed order."""
         shared = [record for record in self._records.values() if record.is_shared]
         shared.sort(key=lambda record: (-record.last_ms, record.content))
         return sorted(shared[:SHARED_MAX], key=lambda record: record.content)
 
     def record_crash(self, crash: CrashReport, at_ms: float) -> list[CrashRecord]:
-        """Take a crash into account and return the records that changed."""
+        """Record a crash and return the records that changed."""
         alone = len(crash.contents) == 1
         entry = Crash(crash.target, at_ms, alone)
         changed = [self._add(content, entry) for content in crash.contents]
@@ -85,7 +85,7 @@
         return added
 
     def clear(self, content: ContentDigest, at_ms: float) -> CrashRecord | None:
-        """Note that a target answered a request and lives; return its record."""
+        """Clear a request that its target survived; return its record."""
         record = self._records.get(content)
         if record is None or not record.crashes:
             return None
@@ -99,7 +99,7 @@
         return cleared
 
     def begin_trial(self, content: ContentDigest, at_ms: float) -> CrashRecord | None:
-        """Note that a held request is sent once more; return its record."""
+        """Count a trial of a held request; return its record."""
         record = self._records.get(content)
         if record is None:
             return None
@@ -108,19 +108,19 @@
         return record
 
     def merge(self, records: Iterable[CrashRecord], now_ms: float) -> list[CrashRecord]:
-        """Take over what others know and return the records that changed."""
+        """Merge the records of other hosts and return those that changed."""
         changed: list[CrashRecord] = []
-        for told in records:
-            held = self._records.get(told.content)
-            merged = told if held is None else held.merged(told)
-            if merged != held and merged.last_ms > now_ms - FORGET_MS:
-                self._records[told.content] = merged
+        for received in records:
+            known = self._records.get(received.content)
+            merged = received if known is None else known.merged(received)
+            if merged != known and merged.last_ms > now_ms - FORGET_MS:
+                self._records[received.content] = merged
                 changed.append(merged)
         self._drop_old(now_ms)
         return changed
 
     def isolation(self, content: ContentDigest) -> Isolation:
-        """Return how a request has to be kept apart from other work."""
+        """Return how a request has to be isolated from other requests."""
         crashes = self._unexplained(content)
         if not crashes:
             return Isolation.NONE
@@ -129,11 +129,11 @@
         return Isolation.REQUIRED
 
     def is_held(self, content: ContentDigest) -> bool:
-        """Return True if a request is sent in trials only."""
+        """Return True if a request is in quarantine, where it runs in trials only."""
         return _suffice(self._unexplained(content))
 
     def held_until_ms(self, content: ContentDigest) -> float:
-        """Return when a held request may be tried next."""
+        """Return when the next trial of a held request is due, 0 for other requests."""
         record = self._records.get(content)
         if record is None or not self.is_held(content):
             return 0.0
@@ -142,7 +142,7 @@
     def hold_ms(self, content: ContentDigest) -> float:
         """Return the wait before the next trial of a held request."""
         record = self._records[content]
-        if record.trials >= TRIALS_MOST:
+        if record.trials >= MAX_TRIALS:
             return FORGET_MS
         return FIRST_HOLD_MS * HOLD_FACTOR**record.trials
 
@@ -169,15 +169,15 @@
         surplus = len(self._records) - RECORDS_MAX
         if surplus <= 0:
             return
-        least_first = sorted(
+        least_important_first = sorted(
             self._records.values(),
             key=lambda record: (record.is_shared, record.last_ms),
         )
-        for record in least_first[:surplus]:
+        for record in least_important_first[:surplus]:
             del self._records[record.content]
 
 
 def _suffice(crashes: frozenset[Crash]) -> bool:
-    """Return True if crashes are enough to hold a request back."""
+    """Return True if the crashes are enough to quarantine a request."""
     alone = any(crash.alone for crash in crashes)
     return len(crashes) >= (CRASHES_ALONE if alone else CRASHES_WITH_OTHERS)
--- a/src/crocusspindle/core/crash_watch.py
+++ b/src/crocusspindle/core/crash_watch.py
@@ -1,4 +1,4 @@
-"""Find out by the endings of work which targets crashed, and what ran there."""
+"""Detect crashed targets, and the requests that ran there, from attempt outcomes."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -10,21 +10,21 @@
 from crocusspindle.core.target_gauge import Ending
 from crocusspindle.ids import ContentDigest
 
-SHOWN_LATER_MS: Final = 6_000.0
-"""A process that came back at once broke work this long ago at most, when the next
-request meets another instance at its address."""
+MAX_DETECTION_DELAY_MS: Final = 6_000.0
+"""The crash of a target that restarts at once shows when the next request meets another
+instance at its address; attempts that broke up to this long before belong to it."""
 
 
 @dataclass(slots=True)
 class _Crashed:
-    """Hold a target's last crash and what ran there."""
+    """Hold a target's last crash and the requests that ran there."""
 
     at_ms: float
     contents: set[ContentDigest] = field(default_factory=set)
 
 
 class CrashWatch:
-    """Watch the targets of one service."""
+    """Detect crashes of the targets of one service."""
 
     def __init__(self, table: CrashTable) -> None:
         self._table = table
@@ -38,28 +38,28 @@
         target: TargetIdentity,
         content: ContentDigest,
         running: Iterable[ContentDigest],
-        ending: Ending,
+        outcome: Ending,
         now_ms: float,
     ) -> None:
-        """Take the end of one sending into account, beside what still runs there."""
-        if ending is Ending.ANSWERED:
+        """Record an attempt's outcome and the requests that still run at the target."""
+        if outcome is Ending.ANSWERED:
             if content in self._table:
                 self._answered.append(content)
-        elif ending is Ending.CRASHED:
+        elif outcome is Ending.CRASHED:
             self._note_crash(target, {content, *running}, now_ms)
-        elif ending is Ending.BROKEN:
+        elif outcome is Ending.BROKEN:
             self._broken.setdefault(target, {})[content] = now_ms
-        elif ending in (Ending.CLOSED, Ending.MISDIRECTED):
-            lost = self._broken.pop(target, {})
-            since_ms = now_ms - SHOWN_LATER_MS
-            recent = {c for c, at in lost.items() if at > since_ms}
+        elif outcome in (Ending.CLOSED, Ending.MISDIRECTED):
+            broken_ms = self._broken.pop(target, {})
+            since_ms = now_ms - MAX_DETECTION_DELAY_MS
+            recent = {c for c, at in broken_ms.items() if at > since_ms}
             self._note_crash(target, recent, now_ms)
 
     def _note_crash(
         self, target: TargetIdentity, contents: set[ContentDigest], now_ms: float
     ) -> None:
-        # All that ran there ends one by one. Counted one by one, the last would seem
-        # to have been alone. A target may come back under its identity.
+        # The attempts at a crashed target end one by one. Counted one by one, the last
+        # would seem to have run alone. A target may restart under its identity.
         known = self._crashed.get(target)
         if known is None or now_ms - known.at_ms > SAME_CRASH_MS:
             known = self._crashed[target] = _Crashed(now_ms)
@@ -69,19 +69,19 @@
             self._reports.append(CrashReport(target, frozenset(known.contents)))
 
     def keep(self, listed: Iterable[TargetIdentity]) -> None:
-        """Forget targets that have left the list."""
+        """Forget the targets that are no longer listed."""
         kept = set(listed)
-        for found in (self._crashed, self._broken):
-            for target in found.keys() - kept:
-                del found[target]
+        for by_target in (self._crashed, self._broken):
+            for target in by_target.keys() - kept:
+                del by_target[target]
 
     @property
     def has_reports(self) -> bool:
-        """Return True if there were crashes since they were last asked for."""
+        """Return True if there were crashes since the last call of ``reports``."""
         return bool(self._reports)
 
     def answered(self) -> list[ContentDigest]:
-        """Return the requests with a record that were answered since the last call."""
+        """Return the requests on record that got a response since the last call."""
         answered, self._answered = self._answered, []
         return answered
 
--- a/tests/core/test_crash_table.py
+++ b/tests/core/test_crash_table.py
@@ -1,4 +1,4 @@
-"""See which requests are held for crashing their targets, and which go free."""
+"""Test which requests are quarantined for crashing targets, and which are not."""
 
 import pytest
 
@@ -7,9 +7,9 @@
     FIRST_HOLD_MS,
     FORGET_MS,
     HOLD_FACTOR,
+    MAX_TRIALS,
     RECORDS_MAX,
     SHARED_MAX,
-    TRIALS_MOST,
     CrashReport,
     CrashTable,
     Isolation,
@@ -21,7 +21,7 @@
 BYSTANDERS = tuple(ContentDigest(f"bystander-{n}") for n in range(5))
 
 
-def seen(target, *contents):
+def crash_report(target, *contents):
     return CrashReport(TargetIdentity(target), frozenset(contents))
 
 
@@ -30,22 +30,22 @@
     return CrashTable()
 
 
-def test_a_request_that_nobody_knows_runs_as_any_other(table):
+def test_a_request_without_a_record_is_not_isolated(table):
     assert table.isolation(POISON) is Isolation.NONE
     assert not table.is_held(POISON) and table.held_until_ms(POISON) == 0.0
 
 
-def test_all_that_ran_at_a_crash_is_kept_apart_and_none_of_it_held(table):
-    table.record_crash(seen("t0", POISON, *BYSTANDERS), 0.0)
+def test_all_requests_at_a_crash_are_isolated_and_none_is_held(table):
+    table.record_crash(crash_report("t0", POISON, *BYSTANDERS), 0.0)
     for content in (POISON, *BYSTANDERS):
         assert table.isolation(content) is Isolation.PREFERRED
         assert not table.is_held(content)
 
 
-def test_a_second_crash_under_a_request_alone_holds_it_and_frees_the_others(table):
-    """Guards against innocent requests that are held with the one that crashes."""
-    table.record_crash(seen("t0", POISON, *BYSTANDERS), 0.0)
-    table.record_crash(seen("t1", POISON), 1_000.0)
+def test_a_second_crash_of_a_request_alone_holds_it_and_clears_the_others(table):
+    """Guards against holding innocent requests with the one that crashes targets."""
+    table.record_crash(crash_report("t0", POISON, *BYSTANDERS), 0.0)
+    table.record_crash(crash_report("t1", POISON), 1_000.0)
     assert table.is_held(POISON)
     assert table.held_until_ms(POISON) == 1_000.0 + FIRST_HOLD_MS
     for content in BYSTANDERS:
@@ -53,93 +53,93 @@
 
 
 def test_crashes_among_others_hold_a_request_at_the_third(table):
-    table.record_crash(seen("t0", POISON, BYSTANDERS[0]), 0.0)
-    table.record_crash(seen("t1", POISON, BYSTANDERS[1]), 1.0)
+    table.record_crash(crash_report("t0", POISON, BYSTANDERS[0]), 0.0)
+    table.record_crash(crash_report("t1", POISON, BYSTANDERS[1]), 1.0)
     assert not table.is_held(POISON)
     assert table.isolation(POISON) is Isolation.REQUIRED
-    table.record_crash(seen("t2", POISON, BYSTANDERS[2]), 2.0)
+    table.record_crash(crash_report("t2", POISON, BYSTANDERS[2]), 2.0)
     assert table.is_held(POISON)
 
 
-def test_the_endings_of_one_crash_count_once_however_they_come(table):
-    """Guards against a bystander that seems alone since it was told of last."""
-    table.record_crash(seen("t0", POISON), 0.0)
-    table.record_crash(seen("t0", POISON, BYSTANDERS[0]), 1.0)
+def test_reports_of_one_crash_count_once_in_any_order(table):
+    """Guards against taking a bystander for alone because it is reported last."""
+    table.record_crash(crash_report("t0", POISON), 0.0)
+    table.record_crash(crash_report("t0", POISON, BYSTANDERS[0]), 1.0)
     assert not table.is_held(POISON) and not table.is_held(BYSTANDERS[0])
-    table.record_crash(seen("t1", POISON, BYSTANDERS[1]), 2.0)
+    table.record_crash(crash_report("t1", POISON, BYSTANDERS[1]), 2.0)
     assert not table.is_held(POISON)
 
 
-def test_an_answer_clears_a_request_on_every_host(table):
-    """Guards against an old report that puts a cleared request back on hold."""
-    table.record_crash(seen("t0", POISON), 0.0)
-    table.record_crash(seen("t1", POISON), 1.0)
+def test_a_response_clears_a_request_on_every_host(table):
+    """Guards against an old report that quarantines a cleared request again."""
+    table.record_crash(crash_report("t0", POISON), 0.0)
+    table.record_crash(crash_report("t1", POISON), 1.0)
     before = table.record(POISON)
     cleared = table.clear(POISON, 20_000.0)
     assert cleared.is_shared
     other = CrashTable()
     other.merge([before], 20_000.0)
-    for told in ([cleared], [before]):
-        other.merge(told, 20_000.0)
+    for records in ([cleared], [before]):
+        other.merge(records, 20_000.0)
         assert not other.is_held(POISON)
         assert other.isolation(POISON) is Isolation.NONE
 
 
-def test_trials_come_ever_more_rarely_and_are_counted(table):
-    """Guards against holds by time alone, which let a request through for ever."""
-    table.record_crash(seen("t0", POISON), 0.0)
-    table.record_crash(seen("t1", POISON), 0.0)
+def test_trials_back_off_and_are_counted(table):
+    """Guards against quarantine by time alone, which allows trials for ever."""
+    table.record_crash(crash_report("t0", POISON), 0.0)
+    table.record_crash(crash_report("t1", POISON), 0.0)
     at_ms = 0.0
-    for number in range(TRIALS_MOST):
+    for number in range(MAX_TRIALS):
         due_ms = table.held_until_ms(POISON)
         assert due_ms == at_ms + FIRST_HOLD_MS * HOLD_FACTOR**number
         at_ms = due_ms
         table.begin_trial(POISON, at_ms)
-        table.record_crash(seen(f"trial-{number}", POISON), at_ms)
+        table.record_crash(crash_report(f"trial-{number}", POISON), at_ms)
     assert table.held_until_ms(POISON) == at_ms + FORGET_MS
 
 
-def test_a_target_that_comes_back_under_its_identity_is_counted_again(table):
-    """Guards against a request that ends the same few targets over and over."""
-    table.record_crash(seen("t0", POISON), 0.0)
-    table.record_crash(seen("t0", POISON), 500.0)
+def test_a_target_that_restarts_under_its_identity_counts_again(table):
+    """Guards against a request that crashes the same few targets repeatedly."""
+    table.record_crash(crash_report("t0", POISON), 0.0)
+    table.record_crash(crash_report("t0", POISON), 500.0)
     assert not table.is_held(POISON)
-    table.record_crash(seen("t0", POISON), 5_000.0)
+    table.record_crash(crash_report("t0", POISON), 5_000.0)
     assert table.is_held(POISON)
 
 
-def test_hosts_that_saw_different_crashes_come_to_the_same_record(table):
+def test_hosts_that_saw_different_crashes_converge_on_one_record(table):
     other = CrashTable()
-    table.record_crash(seen("t0", POISON), 0.0)
-    other.record_crash(seen("t1", POISON), 5.0)
-    mine, others = table.record(POISON), other.record(POISON)
-    table.merge([others], 10.0)
-    other.merge([mine], 10.0)
+    table.record_crash(crash_report("t0", POISON), 0.0)
+    other.record_crash(crash_report("t1", POISON), 5.0)
+    own, theirs = table.record(POISON), other.record(POISON)
+    table.merge([theirs], 10.0)
+    other.merge([own], 10.0)
     assert table.record(POISON) == other.record(POISON)
     assert table.is_held(POISON)
-    assert table.merge([others, mine], 11.0) == []
+    assert table.merge([theirs, own], 11.0) == []
 
 
-def test_records_are_bounded_and_held_ones_stay(table):
-    """Guards against memory that grows with each crash."""
-    table.record_crash(seen("t0", POISON), 0.0)
-    table.record_crash(seen("t1", POISON), 0.0)
+def test_records_are_bounded_and_those_of_held_requests_stay(table):
+    """Guards against memory use that grows with each crash."""
+    table.record_crash(crash_report("t0", POISON), 0.0)
+    table.record_crash(crash_report("t1", POISON), 0.0)
     for number in range(RECORDS_MAX + 10):
         table.record_crash(
-            seen(f"t{number + 2}", ContentDigest(f"other-{number}")), number + 1
+            crash_report(f"t{number + 2}", ContentDigest(f"other-{number}")), number + 1
         )
     known = [f"other-{n}" in table for n in range(RECORDS_MAX + 10)]
     assert sum(known) == RECORDS_MAX - 1
     assert table.is_held(POISON)
 
 
-def test_a_record_is_forgotten_in_the_end(table):
-    table.record_crash(seen("t0", POISON), 0.0)
-    table.record_crash(seen("t1", BYSTANDERS[0]), FORGET_MS)
+def test_a_record_expires(table):
+    table.record_crash(crash_report("t0", POISON), 0.0)
+    table.record_crash(crash_report("t1", BYSTANDERS[0]), FORGET_MS)
     assert POISON not in table and BYSTANDERS[0] in table
 
 
-def test_what_every_host_has_to_know_fits_into_a_datagram(table):
+def test_the_shared_records_fit_into_a_datagram(table):
     records = [
         CrashRecord(
             ContentDigest(f"{number}"),
