--- a/src/crocusspindle/core/configuration.py
+++ b/src/crocusspindle/core/configuration.py
@@ -1,4 +1,4 @@
-"""Hold one version of the fleet's configuration, and find what it says."""
+"""Hold one version of the fleet's configuration and look up its rules."""
 
 import hashlib
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 
 
 class RequestKind(Enum):
-    """Tell what may be done with requests of a route."""
+    """Classify the requests of a route by what may be done with them."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Give a service its part of a route's requests."""
+    """Hold the weight with which a service gets a route's requests."""
 
     service: ServiceId
     weight: float
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRule:
-    """Say where requests of a host and path prefix go, and under which bounds."""
+    """Hold the services and the limits for requests of a host and path prefix."""
 
     name: str
     host: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerRule:
-    """Hold a customer's rate and burst over the fleet; a rate of 0 is no limit."""
+    """Hold a customer's rate and burst over the fleet; a rate of 0 means no limit."""
 
     customer: CustomerId
     rate_per_s: float = 0.0
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bound what callers may send and how long they may take."""
+    """Limit the sizes of callers' requests and the time that they may take."""
 
     header_bytes: int = 16_384
     body_bytes: int = 67_108_864
@@ -79,7 +79,7 @@
     limits: CallerLimits = field(default_factory=CallerLimits)
 
     def route(self, host: str, path: str) -> RouteRule | None:
-        """Return the route of the longest prefix, in steps of the path's depth."""
+        """Return the route of the longest prefix, in time linear in path depth."""
         prefixes = self.routes.get(host)
         if prefixes is None:
             return None
@@ -91,22 +91,22 @@
         return None
 
     def customer_of(self, key: str) -> CustomerRule | None:
-        """Return the customer that holds a key."""
+        """Return the customer with an API key."""
         customer = self.keys.get(key_digest(key))
         return None if customer is None else self.customers[customer]
 
 
 def key_digest(key: str) -> KeyDigest:
-    """Return the digest by which a key is known; the key itself is not kept."""
+    """Return the digest that identifies a key; the key itself is not stored."""
     return KeyDigest(hashlib.sha256(key.encode()).digest())
 
 
 def choose_part(parts: tuple[Part, ...], draw: float) -> ServiceId:
     """Return the service for a draw from [0, 1), in proportion to the weights."""
-    total = sum(part.weight for part in parts)
+    total = sum(weighted.weight for weighted in parts)
     point = draw * total
-    for part in parts:
-        point -= part.weight
+    for weighted in parts:
+        point -= weighted.weight
         if point < 0:
-            return part.service
+            return weighted.service
     return parts[-1].service
--- a/src/crocusspindle/core/decisions.py
+++ b/src/crocusspindle/core/decisions.py
@@ -1,6 +1,6 @@
-"""Define what a home is told and what it decides.
+"""Define the events that a group coordinator receives and its decisions.
 
-Every message is frozen data, so that a driver may log, replay or compare it.
+Every message is immutable, so that a driver may log, replay or compare it.
 """
 
 from dataclasses import dataclass
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """Describe a request that an entry hands to the home.
+    """Describe a request that an entry hands to the group coordinator.
 
-    ``weight`` is the customer's part in fair queueing, normally its rate.
-    ``credential`` tags the key that the request came with, for ``revoke``.
+    ``weight`` is the customer's weight in fair queueing, normally its rate.
+    ``credential`` identifies the key that the request came with, for ``revoke``.
     """
 
     request: RequestId
@@ -28,22 +28,22 @@
 
 
 class AttemptEnd(Enum):
-    """Tell how an attempt ended, by what the target may have done."""
+    """Classify the end of an attempt by what the target may have done."""
 
     ANSWERED = "answered"
-    """A whole answer of any status that is handed to the caller."""
+    """A complete response of any status that is returned to the caller."""
     FAILED = "failed"
-    """A 5xx, or broken before anything was handed on; it may have run."""
+    """A 5xx, or broken before any byte reached the caller; it may have run."""
     SHED = "shed"
-    """The target said that it is overloaded and did not run the request."""
+    """The target reported overload and did not run the request."""
     UNSENT = "unsent"
-    """Nothing was written: the target provably never saw the request."""
+    """No byte was written: the target cannot have received the request."""
     SILENT = "silent"
     """Timed out or lost after sending; it may have run."""
 
 
 class RefusalReason(Enum):
-    """Tell why a request was refused without having run."""
+    """Give the reason why a request was refused without having run."""
 
     WAIT_TOO_LONG = "wait_too_long"
     QUEUE_FULL = "queue_full"
@@ -53,7 +53,7 @@
 
 
 class Outcome(Enum):
-    """Tell what is known of a request that was given up."""
+    """Classify a request that was given up by whether it may have run."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Abort an attempt; report its end as usual, which frees the slot."""
+    """Abort an attempt; its end is reported as for any other and frees the slot."""
 
     attempt: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Take this attempt's answer as the answer to the request."""
+    """Return this attempt's response as the response to the request."""
 
     request: RequestId
     attempt: AttemptId
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer that the request has certainly not run, and when to come back."""
+    """Respond that the request has certainly not run, and when to retry it."""
 
     request: RequestId
     reason: RefusalReason
@@ -95,9 +95,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Give the request up with its final answer, at once.
+    """Give the request up and send its final response at once.
 
-    The driver may hand on the whole answer of ``last_attempt``, such as a 503,
+    The driver may return the complete response of ``last_attempt``, such as a 503,
     if it holds one.
     """
 
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HomeLoad:
-    """Hold the load that entries see when they choose between groups."""
+    """Hold the load by which entries choose between groups."""
 
     queued: int
     running: int
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """Show one target as the home sees it."""
+    """Report the coordinator's state of one target."""
 
     target: TargetId
     running: int
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HomeStatus:
-    """Show a home to operators."""
+    """Report a group coordinator's state to operators."""
 
     load: HomeLoad
     targets: tuple[TargetStatus, ...]
--- a/src/crocusspindle/core/proof.py
+++ b/src/crocusspindle/core/proof.py
@@ -1,4 +1,4 @@
-"""Hold what is believed with the age of its proof."""
+"""Hold the newest known version of a state and the age of its confirmation."""
 
 import math
 from dataclasses import dataclass
@@ -9,10 +9,10 @@
 
 @dataclass(slots=True)
 class Belief(Generic[Content]):
-    """Hold the newest known content and when it was last shown to be the newest.
+    """Hold the newest known content and when it was last confirmed as the newest.
 
-    ``proved_at_ms`` is when the read began whose answer showed that nothing newer
-    was there. It never goes back: an older answer that comes late proves less.
+    ``confirmed_at_ms`` is when the read began whose response showed that no newer
+    version existed. It never decreases: a late response to an older read confirms less.
     """
 
     content: Content | None = None
@@ -20,10 +20,10 @@
     proved_at_ms: float = -math.inf
 
     def take(self, content: Content, version: int, proved_at_ms: float) -> bool:
-        """Take newer content; return True if it replaced the older one.
+        """Apply newer content; return True if it replaced the older one.
 
-        A slow answer may bring an older version than one that is in force. Taking
-        it would serve routes and keys that were already taken away.
+        A slow response may hold an older version than the one in force. Applying it
+        would serve routes and keys that were already withdrawn.
         """
         if version < self.version:
             return False
@@ -35,10 +35,10 @@
         return replaced
 
     def prove(self, version: int, proved_at_ms: float) -> None:
-        """Note that a version was the newest at a time."""
+        """Record that a version was the newest at a time."""
         if version == self.version:
             self.proved_at_ms = max(self.proved_at_ms, proved_at_ms)
 
     def age_ms(self, now_ms: float) -> float:
-        """Return how long ago the proof's read began."""
+        """Return how long ago the confirming read began."""
         return now_ms - self.proved_at_ms
--- a/src/crocusspindle/core/reader_choice.py
+++ b/src/crocusspindle/core/reader_choice.py
@@ -1,4 +1,4 @@
-"""Choose whom a node asks for what is newest, and whom it passes over for a while."""
+"""Choose the reader that a node polls, and skip silent ones for a while."""
 
 import math
 import random
@@ -12,16 +12,16 @@
 READER_DUTY: Final = b"reader"
 SUSPECT_MS: Final = 2_000.0
 SUSPECT_MAX_MS: Final = 32_000.0
-"""Readers that stay silent while others answer are tried ever more rarely. Tried every
-two seconds, a few of them at the front would take more time than that to get past, and
-no node would ever come to the one that answers."""
+"""Readers that stay silent while others respond are retried at growing intervals. With
+a retry every two seconds, getting past a few of them at the front would take longer
+than that, and no node would reach the one that responds."""
 
 JITTER: Final = 0.25
 
 
 @dataclass(slots=True)
 class _Suspicion:
-    """Hold since when a process is passed over, and for how long at the most."""
+    """Hold since when a process is skipped, and for how long at most."""
 
     incarnation: Incarnation
     length_ms: float
@@ -30,56 +30,56 @@
 
 
 class ReaderChoice:
-    """Rank the nodes that may be asked, by one node's own experience with them.
+    """Rank the candidate readers by this node's own experience with them.
 
-    The load is a fleet many of whose nodes cannot carry the duty, or are cut off. The
-    harm prevented: all nodes asking all silent ones in turn, for ever.
+    Many nodes of a fleet may be too small for the role of the reader, or partitioned.
+    Without suspicions, all nodes would poll all the silent ones in turn, for ever.
 
-    A node that hears nobody may itself be cut off. Until someone answers, it goes
-    through all of them once; then it tries those again that were silent for the first
-    time, so that it finds the reader that the others ask as soon as its way is back.
+    A node that receives no response may itself be partitioned. Until one arrives, it
+    tries every reader once, and then again those without an earlier suspicion: it finds
+    the reader that the other nodes use as soon as its network is back.
     """
 
     def __init__(self, own: HostId, draw: random.Random) -> None:
         self._own = own
         self._draw = draw
         self._suspicions: dict[HostId, _Suspicion] = {}
-        self._answered_ms = -math.inf
+        self._last_response_ms = -math.inf
 
     def candidates(self, known: Iterable[NodeAddress], now_ms: float) -> list[HostId]:
-        """Return the nodes to ask, the best first.
+        """Return the nodes to poll, the best first.
 
-        A node that was started anew since it was silent is tried at once.
+        A node that has restarted since it was silent is tried at once.
         """
-        may_be_asked = [node for node in known if self._may_ask(node, now_ms)]
-        if all(node.host == self._own for node in may_be_asked):
-            self._begin_another_round()
-        return by_capacity(READER_DUTY, may_be_asked)
+        eligible = [node for node in known if self._is_candidate(node, now_ms)]
+        if all(node.host == self._own for node in eligible):
+            self._retry_suspects()
+        return by_capacity(READER_DUTY, eligible)
 
-    def _may_ask(self, node: NodeAddress, now_ms: float) -> bool:
+    def _is_candidate(self, node: NodeAddress, now_ms: float) -> bool:
         suspicion = self._suspicions.get(node.host)
         if suspicion is None or suspicion.incarnation != node.incarnation:
             return True
-        if suspicion.since_ms > self._answered_ms:
+        if suspicion.since_ms > self._last_response_ms:
             return False
         return suspicion.length_ms == SUSPECT_MS or suspicion.until_ms <= now_ms
 
-    def _begin_another_round(self) -> None:
+    def _retry_suspects(self) -> None:
         self._suspicions = {
             host: suspicion
             for host, suspicion in self._suspicions.items()
-            if suspicion.since_ms <= self._answered_ms
+            if suspicion.since_ms <= self._last_response_ms
         }
 
     def suspect(self, node: NodeAddress, now_ms: float) -> bool:
-        """Pass a node over for a while; return False if it is passed over already."""
-        if not self._may_ask(node, now_ms):
+        """Skip a silent node for a while; return False if it is skipped already."""
+        if not self._is_candidate(node, now_ms):
             return False
         length_ms = SUSPECT_MS
         known = self._suspicions.get(node.host)
         if known is not None and known.incarnation == node.incarnation:
             length_ms = min(SUSPECT_MAX_MS, known.length_ms * 2)
-        # Nodes that were disappointed together must not come back together.
+        # Nodes that met the same silent reader together must not retry it together.
         spread = self._draw.uniform(1.0 - JITTER, 1.0 + JITTER)
         until_ms = now_ms + length_ms * spread
         suspicion = _Suspicion(node.incarnation, length_ms, now_ms, until_ms)
@@ -87,10 +87,10 @@
         return True
 
     def heard(self, now_ms: float) -> None:
-        """Note that a node answered, whatever it knows: this one is not cut off."""
-        self._answered_ms = now_ms
+        """Record any response, which shows that this node is not partitioned."""
+        self._last_response_ms = now_ms
 
     def trust(self, host: HostId, now_ms: float) -> None:
-        """Forget what spoke against a node that has answered well."""
+        """Drop the suspicion of a node that has responded correctly."""
         self._suspicions.pop(host, None)
         self.heard(now_ms)
--- a/src/crocusspindle/core/rendezvous.py
+++ b/src/crocusspindle/core/rendezvous.py
@@ -8,22 +8,22 @@
 
 Name = TypeVar("Name", bound=str)
 
-SCORES: Final = 2.0**64
-SHARE_MAX: Final = 1.0 - 2.0**-53
-"""The largest share below 1: its logarithm is not 0."""
+SCORE_RANGE: Final = 2.0**64
+MAX_UNIFORM: Final = 1.0 - 2.0**-53
+"""The largest float below 1, so that the logarithm is never 0."""
 
 
 def score(key: bytes, member: str) -> int:
-    """Return the 64-bit weight of a member for a key."""
+    """Return the 64-bit score of a member for a key."""
     return int(xxhash.xxh3_64_intdigest(member.encode() + b"\0" + key))
 
 
 def order(key: bytes, members: Iterable[Name]) -> list[Name]:
-    """Return the members from the heaviest to the lightest for a key.
+    """Return the members from the highest to the lowest score for a key.
 
-    When one of N members leaves, only the keys that it headed move: 1 / N of
-    all. Thaler and Ravishankar, "Using name-based mappings to increase hit
-    rates", 1998.
+    When one of N members leaves, only the keys for which it ranked first move: 1 / N
+    of all. Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
+    1998.
     """
     return sorted(
         members, key=lambda member: (score(key, member), member), reverse=True
@@ -31,15 +31,15 @@
 
 
 def order_by_weight(key: bytes, weights: Mapping[Name, float]) -> list[Name]:
-    """Return the members for a key, each first as often as its weight is of all.
+    """Return the members by rank for a key, first in proportion to their weights.
 
     The order of two members does not depend on the others, so that only the keys of a
-    member that comes, leaves or changes its weight move. Schindelhauer and Schomaker,
+    member that joins, leaves or changes its weight move. Schindelhauer and Schomaker,
     "Weighted distributed hash tables", 2005.
     """
 
     def rank(member: Name) -> tuple[float, str]:
-        share = (score(key, member) + 1) / SCORES
-        return (-math.log(min(share, SHARE_MAX)) / weights[member], member)
+        uniform = (score(key, member) + 1) / SCORE_RANGE
+        return (-math.log(min(uniform, MAX_UNIFORM)) / weights[member], member)
 
     return sorted(weights, key=rank)
--- a/src/crocusspindle/core/request_content.py
+++ b/src/crocusspindle/core/request_content.py
@@ -1,4 +1,4 @@
-"""Tell whether two requests ask for the same."""
+"""Identify requests with the same content."""
 
 import hashlib
 from typing import Final
@@ -6,8 +6,8 @@
 from crocusspindle.ids import ContentDigest, CustomerId
 
 DIGEST_BYTES: Final = 8
-PREFIX: Final = "c"
-"""Keeps a digest of digits alone from being read as a number."""
+DIGEST_PREFIX: Final = "c"
+"""Prevents a digest that consists of digits from being parsed as a number."""
 
 
 def content_digest(
@@ -18,19 +18,19 @@
     body: bytes,
     body_length: int,
 ) -> ContentDigest:
-    """Return the digest of a request's content; a caller's repeats have the same.
+    """Return the digest of a request's content, the same for a caller's retries.
 
     Parameters
     ----------
     path
-        With the query.
+        Includes the query.
     body
-        The whole body, or a first part of fixed length of one that streams.
+        The whole body, or a prefix of fixed length of a streamed one.
     body_length
-        Of the whole, 0 if a body streams in chunks.
+        Length of the whole body, 0 if it is streamed in chunks.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    for part in (method, host, path, customer or "", str(body_length)):
-        digest.update(part.encode(errors="surrogateescape") + b"\n")
+    for field in (method, host, path, customer or "", str(body_length)):
+        digest.update(field.encode(errors="surrogateescape") + b"\n")
     digest.update(body)
-    return ContentDigest(PREFIX + digest.hexdigest())
+    return ContentDigest(DIGEST_PREFIX + digest.hexdigest())
--- a/src/crocusspindle/core/view.py
+++ b/src/crocusspindle/core/view.py
@@ -1,4 +1,4 @@
-"""Hold the agreed list of members and rank them for a duty."""
+"""Hold the agreed list of members and rank them for a role."""
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeAddress:
-    """Tell where a node is, which start of its process is meant, and what it carries.
+    """Hold a node's address, the incarnation of its process, and its capacity.
 
     ``capacity`` counts hundredths of a core or Mbit/s of the link, whichever is less.
     """
@@ -24,38 +24,39 @@
 
     @property
     def duty_weight(self) -> float:
-        """Return the weight with which duties fall to this node.
+        """Return the weight with which this node is assigned roles.
 
-        The load is a fleet of few large hosts and many small ones. A duty that serves
-        the whole fleet fills a small host's processor and link, and all callers wait.
-        By the fourth power, a host of ten times the size has as many duties as 10,000
-        small ones, and hosts of about one size still share them.
+        In a fleet of few large hosts and many small ones, a role that serves the whole
+        fleet saturates a small host's processor and link, and all callers wait. With
+        the fourth power, a host of ten times the size has as many roles as 10,000 small
+        ones, and hosts of similar size still share them.
         """
         return float(self.capacity) ** 4
 
 
 SeatKey = tuple[Incarnation, int]
-"""One stay of one process: it may be put out and come back."""
+"""One membership period of one process, which may be removed and join again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Seat:
-    """Hold a member and the number of the view with which it came."""
+    """Hold a member and the number of the view in which it joined."""
 
     node: NodeAddress
     joined: int
 
     @property
     def key(self) -> SeatKey:
-        """Return what tells this stay from an earlier one of the same process."""
+        """Return the key that differs for each membership period of a process."""
         return (self.node.incarnation, self.joined)
 
 
 @dataclass(frozen=True)
 class View:
-    """Hold the members, and former ones that may not know yet that they are out.
+    """Hold the members, and the fenced ones that may not know of their removal yet.
 
-    A former member (``fenced``) may act on an older view until its proof runs out.
+    A removed member stays in ``fenced`` while it may act on an older view, which is
+    until its freshness confirmation expires.
     """
 
     number: int
@@ -65,17 +66,17 @@
 
     def __post_init__(self) -> None:
         """Index the members by host."""
-        index = {seat.node.host: seat for seat in self.seats}
+        index = {entry.node.host: entry for entry in self.seats}
         object.__setattr__(self, "by_host", index)
 
-    def ranked(self, duty: str) -> list[HostId]:
-        """Return the members by rank for a duty."""
-        return by_capacity(duty.encode(), (seat.node for seat in self.seats))
+    def ranked(self, role: str) -> list[HostId]:
+        """Return the members by rank for a role."""
+        return by_capacity(role.encode(), (entry.node for entry in self.seats))
 
 
-def by_capacity(duty: bytes, nodes: Iterable[NodeAddress]) -> list[HostId]:
-    """Return the hosts of nodes by rank for a duty, larger ones first more often."""
-    return order_by_weight(duty, {node.host: node.duty_weight for node in nodes})
+def by_capacity(role: bytes, nodes: Iterable[NodeAddress]) -> list[HostId]:
+    """Return the nodes' hosts by rank for a role, larger ones first more often."""
+    return order_by_weight(role, {node.host: node.duty_weight for node in nodes})
 
 
 def next_view(
@@ -85,22 +86,22 @@
 ) -> View:
     """Return the view in which exactly the present nodes are members.
 
-    A member that is absent is fenced until its stay is ``over``: it is known to act
-    on it no longer. A host that is present under a new incarnation has forgotten
-    its former life, so that one is over without waiting.
+    An absent member is fenced until its key is in ``expired_keys``, when it is known to
+    act on its membership no longer. A host that is present under a new incarnation
+    needs no fence for the previous one, whose process has ended.
     """
-    seated = () if view is None else view.seats
-    former = () if view is None else (*view.seats, *view.fenced)
+    previous_members = () if view is None else view.seats
+    previous_entries = () if view is None else (*view.seats, *view.fenced)
     kept = {
-        seat.node.host: seat
-        for seat in seated
-        if present.get(seat.node.host) == seat.node
+        entry.node.host: entry
+        for entry in previous_members
+        if present.get(entry.node.host) == entry.node
     }
     number = 1 if view is None else view.number + 1
     fenced = tuple(
-        seat
-        for seat in former
-        if seat.node.host not in present and seat.key not in over
+        entry
+        for entry in previous_entries
+        if entry.node.host not in present and entry.key not in over
     )
     seats = tuple(
         kept.get(host) or Seat(present[host], number) for host in sorted(present)
@@ -112,4 +113,4 @@
     """Return True if the members are not exactly the present nodes."""
     if view is None:
         return True
-    return {host: seat.node for host, seat in view.by_host.items()} != dict(present)
+    return {host: entry.node for host, entry in view.by_host.items()} != dict(present)
--- a/tests/core/test_reader_choice.py
+++ b/tests/core/test_reader_choice.py
@@ -1,4 +1,4 @@
-"""Choose whom to ask, with readers that stay silent or come back."""
+"""Test the choice of a reader when readers are silent or respond again."""
 
 import random
 
@@ -18,30 +18,30 @@
 BY_HOST = {one.host: one for one in NODES}
 OWN = HostId("own")
 ROUND_MS = 950.0
-"""What a node takes to ask three readers that are silent, and to rest."""
+"""Time in which a node polls three silent readers and pauses."""
 
 
-def test_nine_silent_readers_at_the_front_are_got_past():
-    """Nine hosts on narrow links rank first and answer nobody in time.
+def test_nine_silent_readers_at_the_front_are_skipped():
+    """Nine hosts on slow links rank first and never respond in time.
 
-    A silence was forgotten after two seconds, and to ask all nine took three: nobody
-    ever came to the tenth, and every host read the store for itself.
+    If a suspicion expires after two seconds, and polling all nine takes three, no host
+    reaches the tenth reader, and every host reads the store itself.
     """
     choice = ReaderChoice(OWN, random.Random(1))
     ranked = choice.candidates(NODES, 0.0)
-    now_ms, met = 0.0, 0
+    now_ms, responses = 0.0, 0
     for _ in range(60):
         now_ms += ROUND_MS
         for reader in choice.candidates(NODES, now_ms)[:3]:
             if reader in ranked[9:]:
                 choice.trust(reader, now_ms)
-                met += 1
+                responses += 1
                 break
             choice.suspect(BY_HOST[reader], now_ms)
-    assert met > 40
+    assert responses > 40
 
 
-def test_a_reader_that_answers_again_is_trusted_as_before():
+def test_a_reader_that_responds_again_is_trusted_as_before():
     choice = ReaderChoice(OWN, random.Random(1))
     first = choice.candidates(NODES, 0.0)[0]
     now_ms = 0.0
@@ -56,10 +56,11 @@
     assert choice.candidates(NODES, now_ms + 2.0)[0] == first
 
 
-def test_who_hears_nobody_does_not_hold_it_against_them():
-    """A node is cut off for ten seconds, and all others are silent to it.
+def test_a_node_that_is_cut_off_does_not_suspect_the_others():
+    """A node is cut off for ten seconds and gets no response from any other node.
 
-    It would pass over the reader that all others ask for half a minute after that.
+    With suspicions, it would skip the reader that the other nodes use for half a
+    minute after that.
     """
     choice = ReaderChoice(OWN, random.Random(1))
     now_ms = 0.0
@@ -72,11 +73,11 @@
     assert len(choice.candidates(NODES, now_ms + 1.0)) == len(NODES)
 
 
-def test_a_reader_that_was_started_anew_is_asked_at_once():
-    """The host that ranks first is killed, is silent, and starts again.
+def test_a_reader_that_has_restarted_is_polled_at_once():
+    """The host that ranks first is killed, is silent, and restarts.
 
-    If its former silence counted, part of the fleet would ask another reader for half
-    a minute, and both would read the store.
+    If its silence before the restart counted, some hosts would poll another reader for
+    half a minute, and both readers would read the store.
     """
     choice = ReaderChoice(OWN, random.Random(1))
     first, second = choice.candidates(NODES, 0.0)[:2]
@@ -84,13 +85,13 @@
         choice.suspect(BY_HOST[first], now_ms)
         choice.trust(second, now_ms + 1.0)
     assert choice.candidates(NODES, 600.0)[0] == second
-    anew = [node(first, "2"), *(one for one in NODES if one.host != first)]
-    assert choice.candidates(anew, 600.0)[0] == first
+    after_restart = [node(first, "2"), *(one for one in NODES if one.host != first)]
+    assert choice.candidates(after_restart, 600.0)[0] == first
 
 
-def test_lists_leave_no_faster_than_their_part_of_the_link():
-    """Three hundred hosts ask one for a list of 20 kB at the same moment."""
-    pace = BytePace(bytes_per_ms=312.5)
-    given = [at for at in range(4_000) if pace.take(20_000, float(at))]
-    assert len(given) * 20_000 <= 312.5 * (4_000 + BURST_MS) + 20_000
-    assert len(given) >= 50
+def test_lists_are_sent_within_their_fraction_of_the_link():
+    """Three hundred hosts request a list of 20 kB from one host at the same time."""
+    limiter = BytePace(bytes_per_ms=312.5)
+    sent_ms = [at for at in range(4_000) if limiter.take(20_000, float(at))]
+    assert len(sent_ms) * 20_000 <= 312.5 * (4_000 + BURST_MS) + 20_000
+    assert len(sent_ms) >= 50
--- a/tests/core/test_rendezvous.py
+++ b/tests/core/test_rendezvous.py
@@ -2,7 +2,7 @@
 
 
 def test_only_the_keys_of_a_lost_member_move():
-    """A node dies. Requests whose home it was get a new home; no others move."""
+    """A node fails: only the keys for which it ranked first move to another one."""
     members = [f"node-{number}" for number in range(40)]
     keys = [f"service-{number}".encode() for number in range(2_000)]
     before = {key: order(key, members) for key in keys}
@@ -14,14 +14,14 @@
             assert after[key] == before[key][0]
 
 
-def test_a_weight_is_the_part_of_the_keys_that_a_member_heads():
+def test_a_member_ranks_first_for_keys_in_proportion_to_its_weight():
     weights = {"large": 400.0, **{f"small{number}": 1.0 for number in range(100)}}
     heads = [order_by_weight(b"%d" % key, weights)[0] for key in range(5_000)]
     assert 0.77 < heads.count("large") / len(heads) < 0.83
 
 
 def test_only_the_keys_of_a_member_that_leaves_move():
-    """A large host leaves: the duties of all others stay where they are."""
+    """A large host leaves: the roles of all others stay where they are."""
     weights = {f"n{number}": float(number + 1) for number in range(20)}
     rest = {name: weight for name, weight in weights.items() if name != "n19"}
     for key in range(300):
--- a/tests/core/test_request_content.py
+++ b/tests/core/test_request_content.py
@@ -1,11 +1,11 @@
-"""See that a caller's repeats are the same request, and other requests are not."""
+"""Test that a caller's retries have the same digest, and other requests do not."""
 
 import pytest
 
 from crocusspindle.core.request_content import content_digest
 from crocusspindle.ids import CustomerId
 
-ASKED = {
+REQUEST = {
     "method": "POST",
     "host": "hall.example",
     "path": "/pages/oak?size=2",
@@ -15,8 +15,8 @@
 }
 
 
-def test_a_repeat_has_the_same_digest():
-    assert content_digest(**ASKED) == content_digest(**ASKED)
+def test_a_retry_has_the_same_digest():
+    assert content_digest(**REQUEST) == content_digest(**REQUEST)
 
 
 @pytest.mark.parametrize(
@@ -31,5 +31,5 @@
         {"body_length": 8},
     ],
 )
-def test_what_differs_in_one_point_is_another_request(change):
-    assert content_digest(**ASKED) != content_digest(**{**ASKED, **change})
+def test_a_request_that_differs_in_one_field_has_another_digest(change):
+    assert content_digest(**REQUEST) != content_digest(**{**REQUEST, **change})
