--- a/src/crocusspindle/core/rate_limit.py
+++ b/src/crocusspindle/core/rate_limit.py
@@ -21,7 +21,7 @@
 class LimitReport:
     """Hold the rate limit that a target's response names, None if it names none.
 
-    `asked_ms` is when the request was sent: responses may arrive out of order.
+    `sent_ms` is when the request was sent: responses may arrive out of order.
     """
 
     target: TargetIdentity
--- a/src/crocusspindle/core/reader_choice.py
+++ b/src/crocusspindle/core/reader_choice.py
@@ -40,9 +40,9 @@
     the reader that the other nodes use as soon as its network is back.
     """
 
-    def __init__(self, own: HostId, draw: random.Random) -> None:
+    def __init__(self, own: HostId, rng: random.Random) -> None:
         self._own = own
-        self._draw = draw
+        self._rng = rng
         self._suspicions: dict[HostId, _Suspicion] = {}
         self._last_response_ms = -math.inf
 
@@ -80,7 +80,7 @@
         if known is not None and known.incarnation == node.incarnation:
             length_ms = min(SUSPECT_MAX_MS, known.length_ms * 2)
         # Nodes that met the same silent reader together must not retry it together.
-        spread = self._draw.uniform(1.0 - JITTER, 1.0 + JITTER)
+        spread = self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
         until_ms = now_ms + length_ms * spread
         suspicion = _Suspicion(node.incarnation, length_ms, now_ms, until_ms)
         self._suspicions[node.host] = suspicion
