--- a/src/crocusspindle/core/configuration.py
+++ b/src/crocusspindle/core/configuration.py
@@ -91,7 +91,7 @@
         return None
 
     def customer_of(self, key: str) -> CustomerRule | None:
-        """Return the customer with an API key."""
+        """Return the customer that an API key belongs to, None if unknown."""
         customer = self.keys.get(key_digest(key))
         return None if customer is None else self.customers[customer]
 
