--- a/src/crocusspindle/core/backoff.py
+++ b/src/crocusspindle/core/backoff.py
@@ -1,26 +1,26 @@
-"""Wait longer after each failure in a row, and not in step with others."""
+"""Wait longer after each consecutive failure, and not in step with other nodes."""
 
 import random
 from typing import Final
 
-SPREAD: Final = 0.5
-"""Part of a wait that is drawn: nodes that failed together must not try together."""
+JITTER_FRACTION: Final = 0.5
+"""Random fraction of a wait: nodes that failed together must not retry together."""
 
 
 class Backoff:
-    """Give the waits between the tries of one call.
+    """Compute the waits between the tries of one call.
 
-    The load is a whole fleet whose calls exceed what the store takes: tried again at a
-    fixed pace, they would exceed it for as long as the fleet is large.
+    Made for a whole fleet whose calls exceed what the store accepts: retried at a fixed
+    interval, they would exceed it for as long as the fleet is large.
     """
 
-    def __init__(self, first_ms: float, longest_ms: float, draw: random.Random) -> None:
+    def __init__(self, first_ms: float, max_ms: float, rng: random.Random) -> None:
         self._next_ms = first_ms
-        self._longest_ms = longest_ms
-        self._draw = draw
+        self._max_ms = max_ms
+        self._rng = rng
 
     def next_ms(self) -> float:
         """Return how long to wait after one more failure."""
         wait_ms = self._next_ms
-        self._next_ms = min(self._longest_ms, wait_ms * 2.0)
-        return wait_ms * self._draw.uniform(1.0 - SPREAD, 1.0 + SPREAD)
+        self._next_ms = min(self._max_ms, wait_ms * 2.0)
+        return wait_ms * self._rng.uniform(1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION)
--- a/src/crocusspindle/core/fallback_choice.py
+++ b/src/crocusspindle/core/fallback_choice.py
@@ -1,4 +1,4 @@
-"""Choose a target when no placer answers, from what this node alone knows."""
+"""Choose a target from this node's own knowledge when no placer answers."""
 
 import random
 from collections.abc import Iterable
@@ -7,14 +7,14 @@
 
 
 class FallbackChoice:
-    """Keep away from targets that failed here lately or that a placer ejected.
+    """Avoid targets that failed here recently or that a placer ejected.
 
-    The load is a node that is cut off from its peers but not from targets. It serves
-    on its own counts rather than refuse, with no repeats: nobody counts them.
+    Made for a node that is cut off from its peers but not from targets. It serves by
+    its own counts rather than refuse, and without retries, since no placer counts them.
     """
 
-    def __init__(self, draw: random.Random) -> None:
-        self._draw = draw
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._avoid_until_ms: dict[TargetIdentity, float] = {}
         self._running: dict[TargetIdentity, int] = {}
 
@@ -25,7 +25,7 @@
     def choose(
         self, targets: Iterable[ListedTarget], now_ms: float
     ) -> ListedTarget | None:
-        """Return the least loaded of two ready targets drawn at random."""
+        """Return the less loaded of two ready targets drawn at random."""
         ready = [
             target
             for target in targets
@@ -35,17 +35,17 @@
         ]
         if not ready:
             return None
-        pair = self._draw.sample(ready, min(2, len(ready)))
-        return min(pair, key=lambda entry: self._running.get(entry.identity, 0))
+        candidates = self._rng.sample(ready, min(2, len(ready)))
+        return min(candidates, key=lambda entry: self._running.get(entry.identity, 0))
 
     def began(self, target: TargetIdentity) -> None:
-        """Count a request that was sent on this node's own choice."""
+        """Count a request that this node placed by itself."""
         self._running[target] = self._running.get(target, 0) + 1
 
     def ended(self, target: TargetIdentity) -> None:
         """Count the end of such a request."""
-        left = self._running.get(target, 1) - 1
-        if left > 0:
-            self._running[target] = left
+        remaining = self._running.get(target, 1) - 1
+        if remaining > 0:
+            self._running[target] = remaining
         else:
             self._running.pop(target, None)
--- a/src/crocusspindle/core/listed_target.py
+++ b/src/crocusspindle/core/listed_target.py
@@ -7,11 +7,11 @@
 from crocusspindle.ids import DomainId, ServiceId
 
 TargetIdentity = NewType("TargetIdentity", str)
-"""One start of one target; an address may be given to another one later."""
+"""One start of one target; its address may be given to another target later."""
 
 
 class Readiness(Enum):
-    """Tell whether a target takes new work."""
+    """State whether a target accepts new work."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedTarget:
-    """Hold one entry of the list."""
+    """Hold one entry of the list of targets."""
 
     identity: TargetIdentity
     service: ServiceId
