--- a/src/crocusspindle/core/asks.py
+++ b/src/crocusspindle/core/asks.py
@@ -1,4 +1,4 @@
-"""Describe what the placer of a service is asked, and what it answers."""
+"""Define placement requests and the decisions of a service's placer on them."""
 
 from dataclasses import dataclass
 
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Ask for a place for one sending.
+    """Request a target for one attempt.
 
-    `aim_ms` is what is left of the route's aim. A `hedge` is a repeat whose first
-    sending still runs. A request that was `counted` was asked of another placer
-    before, which may only be slow. A `trial` is a held request's next sending.
+    `aim_ms` is what is left of the route's latency objective. A `hedge` is a retry
+    whose first attempt still runs. A request that was `counted` was sent to another
+    placer before, which may only be slow. A `trial` is a held request's next attempt.
     """
 
     sender: HostId
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """Name the target of a sending, and when to look for a second one."""
+    """Name the target of an attempt, and the time after which to hedge it."""
 
     grant: GrantId
     target: ListedTarget
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Tell why there is no place, and when to come back."""
+    """State why no target is granted, and the time after which to retry."""
 
     reason: str
     retry_after_ms: float
@@ -51,22 +51,25 @@
 
 @dataclass(slots=True)
 class Waiting:
-    """Hold an ask that waits for a slot, until `settled` has its answer.
+    """Hold a request that waits for a slot, until `settled` holds the decision.
 
-    Up to `prompt_until_ms` it can still be served within its aim; up to `give_up_ms`
-    within its deadline.
+    Up to `on_time_until_ms` it can still be served within its latency objective; up to
+    `give_up_ms` within its deadline.
     """
 
-    ask: Ask
-    asked_ms: float
-    prompt_until_ms: float
+    request: Ask
+    queued_ms: float
+    on_time_until_ms: float
     give_up_ms: float
     settled: Placed | Refused | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class StandingChange:
-    """Tell that a target's standing changed, and by which ending."""
+class EjectionStateChange:
+    """Report a target's new ejection state and the attempt outcome that caused it.
+
+    The fields `standing` and `ending` are named as in the log line.
+    """
 
     target: TargetIdentity
     standing: Standing
--- a/src/crocusspindle/core/placement_queue.py
+++ b/src/crocusspindle/core/placement_queue.py
@@ -1,9 +1,9 @@
-"""Decide who waits for a slot of a service, who starts next, and who is told to go.
+"""Decide which requests wait for a slot of a service, start next or are refused.
 
-The load is a service that is full for some seconds. Those who can be served in time go
-first, by rank and then by age. Those who would be late take slots that would idle: a
-late answer is worth more to its caller than none. Who would not be served before its
-deadline is told at once, with when to come back.
+Made for a service that is full for some seconds. Requests that can meet their latency
+objective go first, by priority and then by age. Late ones take slots that would idle: a
+late answer is worth more to its caller than none. A request that would not be served
+before its deadline is refused at once, with the time to retry after.
 """
 
 import math
@@ -11,115 +11,129 @@
 from typing import Final
 
 from crocusspindle.core.asks import Ask, Refused, Waiting
-from crocusspindle.core.flow import Flow
+from crocusspindle.core.flow import ServiceLoad
 from crocusspindle.core.latency_sample import LatencySample
 from crocusspindle.core.policies import Policies, Policy
-from crocusspindle.core.wait_line import WaitLine
+from crocusspindle.core.wait_line import WaitQueue
 
-LEAST_WAIT_MS: Final = 40.0
+MIN_WAIT_MS: Final = 40.0
 RETRY_MIN_MS: Final = 100.0
-SURE_PART: Final = 0.75
-"""Who waits is given up when three in four such requests would not end in time."""
+IN_TIME_QUANTILE: Final = 0.75
+"""Quantile of the latency that must fit before the deadline: a queued request is
+refused when three in four of its kind would not finish in time."""
 
 
 def refused_as_full(wait_ms: float) -> Refused:
-    """Return the refusal of a service that expects room after a time."""
+    """Return the refusal of a service that expects a free slot after a time."""
     return Refused("full", max(RETRY_MIN_MS, wait_ms))
 
 
 class PlacementQueue:
-    """Hold the asks that wait for one service."""
+    """Hold the queued placement requests of one service."""
 
     def __init__(self, policies: Policies, now_ms: float) -> None:
         self._policies = policies
-        self._line = WaitLine()
-        self._flow = Flow(now_ms)
+        self._queue = WaitQueue()
+        self._load = ServiceLoad(now_ms)
 
     def __len__(self) -> int:
-        """Return how many asks wait."""
-        return len(self._line)
+        """Return how many requests are queued."""
+        return len(self._queue)
 
     @property
-    def work_ms(self) -> float:
-        """Return the mean time that an answer takes, endless before the first one."""
-        return math.inf if math.isnan(self._flow.work_ms) else self._flow.work_ms
-
-    def arrived(self, now_ms: float) -> None:
-        """Count a request that is to be sent for the first time."""
-        self._flow.arrived(now_ms)
-
-    def answered(self, latency_ms: float) -> None:
-        """Take the time of one answer into account."""
-        self._flow.answered(latency_ms)
-
-    def join(
-        self, ask: Ask, sample: LatencySample, open_slots: float, now_ms: float
+    def mean_latency_ms(self) -> float:
+        """Return the mean latency of answers, infinite before the first one."""
+        return (
+            math.inf
+            if math.isnan(self._load.mean_latency_ms)
+            else self._load.mean_latency_ms
+        )
+
+    def record_arrival(self, now_ms: float) -> None:
+        """Count a request's first attempt."""
+        self._load.record_arrival(now_ms)
+
+    def record_answer(self, latency_ms: float) -> None:
+        """Record the latency of one answer."""
+        self._load.record_answer(latency_ms)
+
+    def enqueue(
+        self, request: Ask, sample: LatencySample, open_slots: float, now_ms: float
     ) -> Waiting | Refused:
-        """Let an ask wait if it has hope, or refuse it."""
-        ahead = self._line.ahead_of(ask.priority, now_ms)
+        """Queue a request if it can still finish in time, or refuse it."""
+        ahead = self._queue.ahead_of(request.priority, now_ms)
         wait_ms = (ahead + 1) * sample.usual_ms / open_slots
-        prompt_ms = _prompt_limit_ms(ask, sample, now_ms)
-        limit_ms = max(prompt_ms, self._late_limit_ms(ask, sample, now_ms))
-        if wait_ms > prompt_ms:
+        on_time_ms = _on_time_limit_ms(request, sample, now_ms)
+        limit_ms = max(on_time_ms, self._late_limit_ms(request, sample, now_ms))
+        if wait_ms > on_time_ms:
             wait_ms = self._late_wait_ms(open_slots, now_ms)
         if wait_ms > limit_ms or not self._policies.has(Policy.QUEUEING):
             return refused_as_full(min(wait_ms, limit_ms))
-        waiting = Waiting(ask, now_ms, now_ms + prompt_ms, now_ms + limit_ms)
-        self._line.add(waiting)
+        waiting = Waiting(request, now_ms, now_ms + on_time_ms, now_ms + limit_ms)
+        self._queue.add(waiting)
         return waiting
 
-    def _late_limit_ms(self, ask: Ask, sample: LatencySample, now_ms: float) -> float:
+    def _late_limit_ms(
+        self, request: Ask, sample: LatencySample, now_ms: float
+    ) -> float:
         if not self._policies.has(Policy.LATE_QUEUEING):
             return 0.0
-        work_ms = sample.quantile_ms(SURE_PART) if sample.known else sample.usual_ms
-        return ask.deadline_ms - now_ms - work_ms
+        work_ms = (
+            sample.quantile_ms(IN_TIME_QUANTILE)
+            if sample.has_enough_samples
+            else sample.usual_ms
+        )
+        return request.deadline_ms - now_ms - work_ms
 
     def _late_wait_ms(self, open_slots: float, now_ms: float) -> float:
-        # Late work gets only what new requests leave. While these alone fill the
-        # service it would wait for nothing.
-        spare_per_ms = self._flow.spare_per_ms(open_slots, now_ms)
-        return (len(self._line) + 1) / spare_per_ms if spare_per_ms > 0 else math.inf
+        # Late requests get only the capacity that new ones leave. While these alone
+        # fill the service, a late one would wait in vain.
+        spare_per_ms = self._load.spare_per_ms(open_slots, now_ms)
+        return (len(self._queue) + 1) / spare_per_ms if spare_per_ms > 0 else math.inf
 
     def in_order(self, now_ms: float) -> Iterator[Waiting]:
-        """Yield all that wait, in the order in which slots are theirs."""
-        return self._line.in_order(now_ms)
+        """Yield all queued requests, in the order in which they get slots."""
+        return self._queue.in_order(now_ms)
 
     def may_start(self, waiting: Waiting, open_slots: float, now_ms: float) -> bool:
-        """Return True if an ask may take a slot that is free.
+        """Return True if a request may take a free slot.
 
-        A late one that takes the last slot of a full service makes the next late too.
+        A late one that takes the last slot of a full service makes the next one late
+        too.
         """
-        if now_ms < waiting.prompt_until_ms:
+        if now_ms < waiting.on_time_until_ms:
             return True
-        return self._flow.spare_per_ms(open_slots, now_ms) > 0.0
+        return self._load.spare_per_ms(open_slots, now_ms) > 0.0
 
-    def has_hope(self, waiting: Waiting, open_slots: float, now_ms: float) -> bool:
-        """Return True if an ask may still be served before its deadline.
+    def can_finish_in_time(
+        self, waiting: Waiting, open_slots: float, now_ms: float
+    ) -> bool:
+        """Return True if a request may still be served before its deadline.
 
-        While new requests alone fill the service, who is late waits for their burst to
-        end. One that has lasted so long will hardly end in the time that is left, and
-        whoever waits is told while there is still something else to do.
+        While new requests alone fill the service, a late one waits for their burst to
+        end. A burst that has lasted so long will hardly end in the time that is left,
+        so the caller is refused while it can still do something else.
         """
         if now_ms >= waiting.give_up_ms:
             return False
-        aimed_ms = waiting.asked_ms + waiting.ask.aim_ms
-        patient_ms = (aimed_ms + waiting.give_up_ms) / 2
-        if now_ms < patient_ms:
+        aim_ends_ms = waiting.queued_ms + waiting.request.aim_ms
+        patience_ends_ms = (aim_ends_ms + waiting.give_up_ms) / 2
+        if now_ms < patience_ends_ms:
             return True
-        return self._flow.spare_per_ms(open_slots, now_ms) > 0.0
+        return self._load.spare_per_ms(open_slots, now_ms) > 0.0
 
     def drop_settled(self) -> None:
-        """Forget those that have their answer."""
-        self._line.drop_settled()
+        """Drop the requests that have a decision."""
+        self._queue.drop_settled()
 
     def remove(self, waiting: Waiting) -> None:
-        """Forget an ask whose caller has left."""
-        self._line.remove(waiting)
+        """Drop a request whose caller has left."""
+        self._queue.remove(waiting)
 
 
-def _prompt_limit_ms(ask: Ask, sample: LatencySample, now_ms: float) -> float:
-    # Half of what the aim leaves beside the work itself: the other half is for work
-    # that lasts longer than usual.
-    left_ms = ask.deadline_ms - now_ms
-    spare_ms = min(ask.aim_ms, left_ms) - sample.usual_ms
-    return max(LEAST_WAIT_MS, spare_ms / 2)
+def _on_time_limit_ms(request: Ask, sample: LatencySample, now_ms: float) -> float:
+    # Half of what the latency objective leaves beside the typical latency: the other
+    # half is for work that takes longer.
+    left_ms = request.deadline_ms - now_ms
+    spare_ms = min(request.aim_ms, left_ms) - sample.usual_ms
+    return max(MIN_WAIT_MS, spare_ms / 2)
--- a/src/crocusspindle/core/policies.py
+++ b/src/crocusspindle/core/policies.py
@@ -1,6 +1,6 @@
 """Name the mechanisms of placing, so that each can be switched off for a trial.
 
-What a mechanism is worth shows only against a fleet that lacks it. In service all are
+The value of a mechanism shows only against a fleet that lacks it. In service all are
 on; a trial names those that are off when it starts the node.
 """
 
@@ -16,14 +16,14 @@
     """Name one mechanism."""
 
     HEDGING = "hedging"
-    PROOF_AGE = "proof-age"
-    SAFE_FIRST = "safe-first"
+    SUCCESS_AGE = "proof-age"
+    IDEMPOTENT_FIRST = "safe-first"
     HANG_EVIDENCE = "hang-evidence"
     HUNG_EJECTION = "hung-ejection"
-    DOUBT_BY_AGE = "doubt-by-age"
+    SUSPICION_BY_AGE = "doubt-by-age"
     FLOOR_TRIALS = "floor-trials"
-    NEAR_FIRST = "near-first"
-    PATH_BLAME = "path-blame"
+    LOCAL_DOMAIN_FIRST = "near-first"
+    PATH_ATTRIBUTION = "path-blame"
     QUEUEING = "queueing"
     LATE_QUEUEING = "late-queueing"
     REFUSAL_SHARE = "refusal-share"
--- a/src/crocusspindle/core/route_latencies.py
+++ b/src/crocusspindle/core/route_latencies.py
@@ -1,7 +1,7 @@
-"""Hold the recent latencies of the routes of a service, each by itself.
+"""Hold the recent latencies of a service's routes, separately for each route.
 
-One service does short and long work. Judged by both together, a short request that
-hangs looks like long work for seconds, and is neither sent again in time nor counted
+One service does short and long work. Compared with both together, a short request that
+hangs looks like long work for seconds, and is neither hedged in time nor counted
 against its target.
 """
 
@@ -11,48 +11,51 @@
 from crocusspindle.core.latency_sample import LatencySample
 
 ROUTES_MAX: Final = 256
-"""Routes remembered for each service, some 5 KB each; the longest unused goes first."""
+"""Routes remembered for each service, some 5 KB each; the least recently used goes
+first."""
 
-FIRST_PART: Final = 0.25
-"""Part of its aim that a route's work is taken to last until the first answers are in:
-an operator sets an aim that usual work meets with room to spare."""
+INITIAL_AIM_FRACTION: Final = 0.25
+"""Fraction of the latency objective that a route's work is assumed to take until the
+first answers: an operator sets an objective that typical work meets with room to
+spare."""
 
 
 class RouteLatencies:
     """Keep a sample of latencies for each route of a service, and one for all."""
 
-    def __init__(self, apart: bool = True) -> None:
-        self._apart = apart
+    def __init__(self, per_route: bool = True) -> None:
+        self._per_route = per_route
         self._samples: OrderedDict[str, LatencySample] = OrderedDict()
         self._all = LatencySample(0.0)
 
     def add(self, route: str, aim_ms: float, latency_ms: float) -> None:
-        """Take the latency of work that ended well."""
+        """Add the latency of work that succeeded."""
         self._all.add(latency_ms)
-        self._of(route, aim_ms).add(latency_ms)
+        self._route_sample(route, aim_ms).add(latency_ms)
 
-    def judge(self, route: str, aim_ms: float) -> LatencySample:
-        """Return what to judge work of a route by: its own sample once it is known.
+    def sample_for(self, route: str, aim_ms: float) -> LatencySample:
+        """Return the sample with which to compare work of a route.
 
-        Until then all work of the service is the nearest guess, and at first the aim.
+        That is the route's own once it has enough values. Until then all work of the
+        service is the best estimate, and at first the latency objective.
         """
-        own = self._of(route, aim_ms)
-        if self._apart and own.known:
-            return own
-        return self._all if self._all.known else own
+        route_sample = self._route_sample(route, aim_ms)
+        if self._per_route and route_sample.has_enough_samples:
+            return route_sample
+        return self._all if self._all.has_enough_samples else route_sample
 
     @property
-    def least_ms(self) -> float:
-        """Return an age up to which no work of the service is unusual.
+    def min_suspicious_ms(self) -> float:
+        """Return the age up to which no work of the service is suspicious.
 
         Short work may have waited at its target for a slot that long work held.
         """
         return self._all.usual_ms
 
-    def _of(self, route: str, aim_ms: float) -> LatencySample:
+    def _route_sample(self, route: str, aim_ms: float) -> LatencySample:
         sample = self._samples.get(route)
         if sample is None:
-            sample = LatencySample(aim_ms * FIRST_PART)
+            sample = LatencySample(aim_ms * INITIAL_AIM_FRACTION)
             self._samples[route] = sample
             if len(self._samples) > ROUTES_MAX:
                 self._samples.popitem(last=False)
--- a/src/crocusspindle/core/service_placer.py
+++ b/src/crocusspindle/core/service_placer.py
@@ -1,16 +1,17 @@
 """Place the requests of one service on its targets, for the whole fleet.
 
-Made for services of some ten targets with 2 to 6 slots each, at a third to the whole of
-their load, some of whose targets fail grayly at any time. The harm prevented: requests
-sent to a target that another entry has just seen fail, requests that queue at a full
-target while the next one is idle, and callers kept waiting for a refusal.
+Sized for services of about ten targets with 2 to 6 slots each, loaded from a third to
+all of their capacity, where any target may develop a gray failure at any time. Guards
+against requests sent to a target that another entry has just seen fail, requests that
+queue at a full target while another one is idle, and callers kept waiting for a
+refusal.
 """
 
 import math
 from collections.abc import Iterable, Mapping
 from typing import Final
 
-from crocusspindle.core.asks import Ask, Placed, Refused, StandingChange, Waiting
+from crocusspindle.core.asks import Ask, EjectionStateChange, Placed, Refused, Waiting
 from crocusspindle.core.crash_table import CrashTable, Isolation
 from crocusspindle.core.crash_watch import CrashWatch
 from crocusspindle.core.floor_watch import FloorWatch
@@ -33,18 +34,18 @@
 from crocusspindle.core.target_choice import TargetChoice
 from crocusspindle.core.target_gauge import (
     HUNG_NATS,
+    AttemptResult,
     Ending,
     Grant,
     Standing,
-    TargetGauge,
-    WorkEnd,
+    TargetTracker,
 )
-from crocusspindle.core.turn_rate import TurnRate
+from crocusspindle.core.turn_rate import GrayOnsetRate
 from crocusspindle.core.unreached_share import UnreachedShare
 from crocusspindle.ids import NO_CONTENT, ContentDigest, GrantId, HostId
 
 REFRESH_MS: Final = 5.0
-"""What becomes due by time alone is noticed within this."""
+"""Longest delay until a condition that arises by time alone is noticed."""
 
 
 class ServicePlacer:
@@ -53,328 +54,362 @@
     def __init__(
         self,
         floor_share: float,
-        budget: RepeatBudget,
+        retry_budget: RepeatBudget,
         policies: Policies = ALL_POLICIES,
         now_ms: float = 0.0,
         crashes: CrashTable | None = None,
     ) -> None:
         self._crashes = CrashTable() if crashes is None else crashes
         self.crash_watch = CrashWatch(self._crashes)
-        self._budget = budget
+        self._retry_budget = retry_budget
         self._policies = policies
         self._refreshed_ms = -math.inf
-        self._gauges: dict[TargetIdentity, TargetGauge] = {}
+        self._trackers: dict[TargetIdentity, TargetTracker] = {}
         self._latencies = RouteLatencies(policies.has(Policy.ROUTE_LATENCIES))
-        self._turns = TurnRate(now_ms)
+        self._onset_rate = GrayOnsetRate(now_ms)
         self._unreached = UnreachedShare()
         self._floor = FloorWatch(floor_share)
         self._choice = TargetChoice(
-            self._gauges, self._floor, self._turns, policies, self._crashes
+            self._trackers, self._floor, self._onset_rate, policies, self._crashes
         )
         self._queue = PlacementQueue(policies, now_ms)
-        self._number = 0
-        self._changes: list[StandingChange] = []
-        self._paced: list[TargetIdentity] = []
+        self._last_grant = 0
+        self._changes: list[EjectionStateChange] = []
+        self._limited_targets: list[TargetIdentity] = []
 
     def set_targets(self, listed: Iterable[ListedTarget], now_ms: float) -> None:
-        """Take over the list of the service's targets."""
-        self._floor.forget_owed()
+        """Replace the list of the service's targets."""
+        self._floor.invalidate_due()
         entries = {entry.identity: entry for entry in listed}
         self.crash_watch.keep(entries)
-        for identity in self._gauges.keys() - entries.keys():
-            del self._gauges[identity]
+        for identity in self._trackers.keys() - entries.keys():
+            del self._trackers[identity]
         for identity, entry in entries.items():
-            gauge = self._gauges.get(identity)
-            if gauge is None:
-                # It has just told the platform that it lives, so it counts as proved.
-                gauge = TargetGauge(entry, updated_ms=now_ms, proved_ms=now_ms)
-                self._gauges[identity] = gauge
-            gauge.listed = entry
-
-    def gauges(self) -> Mapping[TargetIdentity, TargetGauge]:
-        """Return what is known of each target."""
-        return self._gauges
+            tracker = self._trackers.get(identity)
+            if tracker is None:
+                # It has just reported to the platform that it runs, which counts as a
+                # success.
+                tracker = TargetTracker(
+                    entry, latency_updated_ms=now_ms, last_success_ms=now_ms
+                )
+                self._trackers[identity] = tracker
+            tracker.listed = entry
+
+    def trackers(self) -> Mapping[TargetIdentity, TargetTracker]:
+        """Return the tracker of each target."""
+        return self._trackers
 
     def adopt(self, target: TargetIdentity, until_ms: float, now_ms: float) -> None:
-        """Take over another placer's ejection, as its successor would need it."""
-        gauge = self._gauges.get(target)
-        if gauge is not None and until_ms > now_ms:
-            gauge.standing = Standing.EJECTED
-            gauge.ejected_until_ms = max(gauge.ejected_until_ms, until_ms)
-            gauge.last_failed_ms = now_ms
+        """Apply another placer's ejection, so that this one can take over from it."""
+        tracker = self._trackers.get(target)
+        if tracker is not None and until_ms > now_ms:
+            tracker.ejection_state = Standing.EJECTED
+            tracker.ejected_until_ms = max(tracker.ejected_until_ms, until_ms)
+            tracker.last_failed_ms = now_ms
 
     def take_limit(self, report: LimitReport, now_ms: float) -> bool:
-        """Take over a limit that a target named; return True if it changed."""
-        gauge = self._gauges.get(report.target)
-        return gauge is not None and gauge.limit.take(report, now_ms)
+        """Update the rate limit that a target reported; return True if it changed."""
+        tracker = self._trackers.get(report.target)
+        return tracker is not None and tracker.limit.take(report, now_ms)
 
     def count_paced(self, report: LimitReport, now_ms: float) -> None:
-        """Count a sending of another placer to a target with a limit."""
-        gauge = self._gauges.get(report.target)
-        if gauge is not None:
-            gauge.limit.take(report, now_ms)
-            gauge.limit.sent(now_ms)
+        """Count another placer's attempt at a rate-limited target."""
+        tracker = self._trackers.get(report.target)
+        if tracker is not None:
+            tracker.limit.take(report, now_ms)
+            tracker.limit.sent(now_ms)
 
     def paced(self) -> list[LimitReport]:
-        """Return the limits of targets that got work since the last call."""
-        paced, self._paced = self._paced, []
+        """Return the limits of limited targets that got work since the last call."""
+        targets, self._limited_targets = self._limited_targets, []
         limits = {
-            target: self._gauges[target].limit
-            for target in paced
-            if target in self._gauges
+            target: self._trackers[target].limit
+            for target in targets
+            if target in self._trackers
         }
         return [
             LimitReport(target, limits[target].limit_per_s, limits[target].asked_ms)
-            for target in paced
+            for target in targets
             if target in limits
         ]
 
-    def changes(self) -> list[StandingChange]:
-        """Return the changes of standing since the last call."""
+    def changes(self) -> list[EjectionStateChange]:
+        """Return the changes of ejection state since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
-    def ask(self, ask: Ask, now_ms: float) -> Placed | Refused | Waiting:
-        """Place a sending, queue it for a slot, or refuse it at once."""
-        if ask.hedge and not self._may_hedge(ask, now_ms):
-            return Refused("full", self._usual_ms(ask))
-        if ask.repeat:
-            if not self._budget.repeat(now_ms):
-                return Refused("repeats", self._usual_ms(ask))
+    def ask(self, placement_request: Ask, now_ms: float) -> Placed | Refused | Waiting:
+        """Grant a target for an attempt, queue the request, or refuse it at once."""
+        if placement_request.hedge and not self._may_hedge(placement_request, now_ms):
+            return Refused("full", self._typical_ms(placement_request))
+        if placement_request.repeat:
+            if not self._retry_budget.repeat(now_ms):
+                return Refused("repeats", self._typical_ms(placement_request))
         else:
-            if not ask.counted:
-                self._budget.request(now_ms)
-            self._queue.arrived(now_ms)
+            if not placement_request.counted:
+                self._retry_budget.request(now_ms)
+            self._queue.record_arrival(now_ms)
         self._refresh_if_due(now_ms)
-        placed = self._place(ask, now_ms)
+        placed = self._place(placement_request, now_ms)
         if placed is not None:
             return placed
-        if ask.hedge:
-            self._budget.give_back()
-            return Refused("full", self._usual_ms(ask))
-        return self._wait(ask, now_ms)
+        if placement_request.hedge:
+            self._retry_budget.give_back()
+            return Refused("full", self._typical_ms(placement_request))
+        return self._enqueue(placement_request, now_ms)
 
-    def _may_hedge(self, ask: Ask, now_ms: float) -> bool:
-        if self._crashes.isolation(ask.content) is not Isolation.NONE:
+    def _may_hedge(self, placement_request: Ask, now_ms: float) -> bool:
+        if self._crashes.isolation(placement_request.content) is not Isolation.NONE:
             return False
-        # A second sending takes the slot of someone's first one when slots are short.
+        # When slots are short, a hedge takes the slot of another request's first
+        # attempt.
         if not self._policies.has(Policy.HEDGING) or len(self._queue):
             return False
         return self._any_free(now_ms)
 
     def _any_free(self, now_ms: float) -> bool:
         return any(
-            gauge.free(now_ms)
-            for gauge in self._gauges.values()
-            if gauge.standing is not Standing.EJECTED or gauge.may_be_tried(now_ms)
+            tracker.has_free_slot(now_ms)
+            for tracker in self._trackers.values()
+            if tracker.ejection_state is not Standing.EJECTED
+            or tracker.may_be_tried(now_ms)
         )
 
-    def _sample(self, ask: Ask) -> LatencySample:
-        return self._latencies.judge(ask.route, ask.aim_ms)
+    def _sample(self, placement_request: Ask) -> LatencySample:
+        return self._latencies.sample_for(
+            placement_request.route, placement_request.aim_ms
+        )
 
-    def _usual_ms(self, ask: Ask) -> float:
-        return self._sample(ask).usual_ms
+    def _typical_ms(self, placement_request: Ask) -> float:
+        return self._sample(placement_request).usual_ms
 
-    def _wait(self, ask: Ask, now_ms: float) -> Refused | Waiting:
-        if ask.trial:
+    def _enqueue(self, placement_request: Ask, now_ms: float) -> Refused | Waiting:
+        if placement_request.trial:
             return Refused("held", RETRY_MIN_MS)
-        if not self._any_open_to(ask, now_ms):
-            return self._refuse_all_out(ask, now_ms)
-        sample = self._sample(ask)
-        return self._queue.join(ask, sample, self._open_slots(sample.usual_ms), now_ms)
+        if not self._any_usable_by(placement_request, now_ms):
+            return self._refuse_all_ejected(placement_request, now_ms)
+        sample = self._sample(placement_request)
+        return self._queue.enqueue(
+            placement_request, sample, self._open_slots(sample.usual_ms), now_ms
+        )
 
-    def _any_open_to(self, ask: Ask, now_ms: float) -> bool:
+    def _any_usable_by(self, placement_request: Ask, now_ms: float) -> bool:
         return any(
-            gauge.standing is Standing.WELL
-            and gauge.listed.readiness is Readiness.READY
-            and gauge.listed.identity not in ask.excluded
-            and self._choice.reachable(gauge, ask.sender, now_ms)
-            for gauge in self._gauges.values()
+            tracker.ejection_state is Standing.HEALTHY
+            and tracker.listed.readiness is Readiness.READY
+            and tracker.listed.identity not in placement_request.excluded
+            and self._choice.reachable(tracker, placement_request.sender, now_ms)
+            for tracker in self._trackers.values()
         )
 
     def _open_slots(self, work_ms: float) -> float:
-        # A limit keeps fewer slots busy than there are, the fewer the shorter the work.
+        # A rate limit keeps fewer slots busy than there are, the fewer the shorter the
+        # work.
         return sum(
-            min(gauge.listed.slots, gauge.limit.carries(work_ms))
-            for gauge in self._gauges.values()
-            if gauge.standing is Standing.WELL
-            and gauge.listed.readiness is Readiness.READY
+            min(tracker.listed.slots, tracker.limit.carries(work_ms))
+            for tracker in self._trackers.values()
+            if tracker.ejection_state is Standing.HEALTHY
+            and tracker.listed.readiness is Readiness.READY
         )
 
-    def _refuse_all_out(self, ask: Ask, now_ms: float) -> Refused:
-        returns_ms = [
-            gauge.ejected_until_ms
-            for gauge in self._gauges.values()
-            if gauge.standing is Standing.EJECTED
+    def _refuse_all_ejected(self, placement_request: Ask, now_ms: float) -> Refused:
+        ejections_end_ms = [
+            tracker.ejected_until_ms
+            for tracker in self._trackers.values()
+            if tracker.ejection_state is Standing.EJECTED
         ]
-        soonest_ms = min(returns_ms, default=now_ms + self._usual_ms(ask))
-        return Refused("no-target", max(RETRY_MIN_MS, soonest_ms - now_ms))
+        first_end_ms = min(
+            ejections_end_ms, default=now_ms + self._typical_ms(placement_request)
+        )
+        return Refused("no-target", max(RETRY_MIN_MS, first_end_ms - now_ms))
 
     def _refresh_if_due(self, now_ms: float) -> None:
-        # A look at each target with each ask and each end of a sending would take the
-        # placer's processor from its callers where there are hundreds of targets.
+        # Checking every target at each placement request and each outcome would take
+        # the placer's processor from its callers where there are hundreds of targets.
         if now_ms - self._refreshed_ms >= REFRESH_MS:
             self._refresh(now_ms)
 
     def _refresh(self, now_ms: float) -> None:
         self._refreshed_ms = now_ms
-        well = 0
+        healthy = 0
         ejects_hung = self._policies.has(Policy.HUNG_EJECTION)
-        for gauge in self._gauges.values():
-            if gauge.standing is Standing.EJECTED:
-                gauge.refresh(now_ms)
-            well += gauge.standing is Standing.WELL
-            if not gauge.grants:
+        for tracker in self._trackers.values():
+            if tracker.ejection_state is Standing.EJECTED:
+                tracker.end_due_ejection(now_ms)
+            healthy += tracker.ejection_state is Standing.HEALTHY
+            if not tracker.grants:
                 continue
-            gauge.drop_expired(now_ms)
+            tracker.drop_expired(now_ms)
             if ejects_hung:
-                self._eject_hung(gauge, now_ms)
-        self._turns.pass_time(well, len(self._gauges) - well, now_ms)
+                self._eject_hung(tracker, now_ms)
+        self._onset_rate.record_time(healthy, len(self._trackers) - healthy, now_ms)
         if self._policies.has(Policy.FLOOR_TRIALS):
-            self._floor.keep(self._gauges.values(), len(self._queue), now_ms)
+            self._floor.end_ejections_early(
+                self._trackers.values(), len(self._queue), now_ms
+            )
 
-    def _eject_hung(self, gauge: TargetGauge, now_ms: float) -> None:
-        # A target that takes work and never answers says nothing that could be
-        # judged. Its callers would find out one by one when their time is over.
-        if gauge.standing is Standing.EJECTED or not gauge.grants:
+    def _eject_hung(self, tracker: TargetTracker, now_ms: float) -> None:
+        # A target that accepts work and never answers reports no outcome to judge. Its
+        # callers would find out one by one when their deadlines pass.
+        if tracker.ejection_state is Standing.EJECTED or not tracker.grants:
             return
-        if gauge.nats + gauge.doubt_nats(now_ms) < HUNG_NATS:
+        if tracker.failure_nats + tracker.doubt_nats(now_ms) < HUNG_NATS:
             return
-        if not self._floor.may_eject(self._gauges.values()):
+        if not self._floor.may_eject(self._trackers.values()):
             return
-        self._turns.turned(gauge.standing is Standing.WELL)
-        newest_ms = max(grant.began_ms for grant in gauge.grants.values())
-        gauge.last_failed_ms = max(gauge.last_failed_ms, newest_ms)
-        gauge.eject(now_ms)
-        self._note_change(gauge, Ending.SILENT, None)
-
-    def _place(self, ask: Ask, now_ms: float) -> Placed | None:
-        chosen = self._choice.choose(ask, self._usual_ms(ask), now_ms)
-        return None if chosen is None else self._grant(chosen, ask, now_ms)
-
-    def _grant(self, gauge: TargetGauge, ask: Ask, now_ms: float) -> Placed:
-        self._number += 1
-        sample = self._sample(ask)
-        number = GrantId(self._number)
-        least_ms = self._latencies.least_ms
-        if self._crashes.isolation(ask.content) is not Isolation.NONE:
-            gauge.isolated = None if gauge.grants else number
-        gauge.grants[number] = Grant(
-            number,
-            ask.sender,
+        self._onset_rate.record_onset(tracker.ejection_state is Standing.HEALTHY)
+        newest_ms = max(grant.began_ms for grant in tracker.grants.values())
+        tracker.last_failed_ms = max(tracker.last_failed_ms, newest_ms)
+        tracker.eject(now_ms)
+        self._record_state_change(tracker, Ending.SILENT, None)
+
+    def _place(self, placement_request: Ask, now_ms: float) -> Placed | None:
+        chosen = self._choice.choose(
+            placement_request, self._typical_ms(placement_request), now_ms
+        )
+        return (
+            None if chosen is None else self._grant(chosen, placement_request, now_ms)
+        )
+
+    def _grant(
+        self, tracker: TargetTracker, placement_request: Ask, now_ms: float
+    ) -> Placed:
+        self._last_grant += 1
+        sample = self._sample(placement_request)
+        grant_id = GrantId(self._last_grant)
+        min_suspicious_ms = self._latencies.min_suspicious_ms
+        if self._crashes.isolation(placement_request.content) is not Isolation.NONE:
+            tracker.isolated_grant = None if tracker.grants else grant_id
+        tracker.grants[grant_id] = Grant(
+            grant_id,
+            placement_request.sender,
             now_ms,
-            ask.deadline_ms,
-            ask.route,
-            ask.aim_ms,
+            placement_request.deadline_ms,
+            placement_request.route,
+            placement_request.aim_ms,
             sample,
-            least_ms,
-            ask.content,
+            min_suspicious_ms,
+            placement_request.content,
+        )
+        tracker.last_used_ms = now_ms
+        if tracker.limit.holds:
+            tracker.limit.sent(now_ms)
+            self._limited_targets.append(tracker.listed.identity)
+        hedge_ms = max(
+            min_suspicious_ms, hedge_after_ms(sample, placement_request.aim_ms)
         )
-        gauge.last_used_ms = now_ms
-        if gauge.limit.holds:
-            gauge.limit.sent(now_ms)
-            self._paced.append(gauge.listed.identity)
-        hedge_ms = max(least_ms, hedge_after_ms(sample, ask.aim_ms))
-        return Placed(number, gauge.listed, hedge_ms)
+        return Placed(grant_id, tracker.listed, hedge_ms)
 
     def ended(
         self,
         target: TargetIdentity,
         grant: GrantId,
-        ending: Ending,
+        outcome: Ending,
         sender: HostId,
         latency_ms: float,
         now_ms: float,
         content: ContentDigest = NO_CONTENT,
     ) -> None:
-        """Take the end of a sending into account and place those who wait."""
-        gauge = self._gauges.get(target)
-        if gauge is None:
+        """Record the outcome of an attempt and serve the queue."""
+        tracker = self._trackers.get(target)
+        if tracker is None:
             return
-        known = gauge.grants.pop(grant, None)
-        content = content if known is None else known.content
-        running = [other.content for other in gauge.grants.values()]
-        self.crash_watch.ended(target, content, running, ending, now_ms)
-        self._floor.ended(ending, now_ms)
-        before = gauge.standing
-        gauge.note(self._work_end(known, ending, sender, latency_ms, now_ms))
-        self._unreached.note(ending is Ending.UNREACHED)
-        if known is not None and ending is Ending.ANSWERED:
-            self._latencies.add(known.route, known.aim_ms, latency_ms)
-            self._queue.answered(latency_ms)
-        if gauge.standing is not before:
-            self._turns.turned(before is Standing.WELL)
-            self._note_change(gauge, ending, sender)
+        grant_held = tracker.grants.pop(grant, None)
+        content = content if grant_held is None else grant_held.content
+        running = [other.content for other in tracker.grants.values()]
+        self.crash_watch.ended(target, content, running, outcome, now_ms)
+        self._floor.record_outcome(outcome, now_ms)
+        previous_state = tracker.ejection_state
+        tracker.record_result(
+            self._attempt_result(grant_held, outcome, sender, latency_ms, now_ms)
+        )
+        self._unreached.record(outcome is Ending.UNREACHED)
+        if grant_held is not None and outcome is Ending.ANSWERED:
+            self._latencies.add(grant_held.route, grant_held.aim_ms, latency_ms)
+            self._queue.record_answer(latency_ms)
+        if tracker.ejection_state is not previous_state:
+            self._onset_rate.record_onset(previous_state is Standing.HEALTHY)
+            self._record_state_change(tracker, outcome, sender)
         self._refresh_if_due(now_ms)
-        # A copy of what has just crashed a target may wait here, and be held by it.
+        # A copy of the request that has just crashed a target may be queued here, and
+        # must be held once the crash is recorded.
         if not self.crash_watch.has_reports:
             self._serve_queue(now_ms)
 
-    def _work_end(
+    def _attempt_result(
         self,
         grant: Grant | None,
-        ending: Ending,
+        outcome: Ending,
         sender: HostId,
         latency_ms: float,
         now_ms: float,
-    ) -> WorkEnd:
-        may_eject = self._floor.may_eject(self._gauges.values())
-        nats = self._unreached.nats
+    ) -> AttemptResult:
+        may_eject = self._floor.may_eject(self._trackers.values())
+        unreached_nats = self._unreached.unreached_nats
         if grant is None:
             began_ms = now_ms - latency_ms
-            return WorkEnd(ending, sender, began_ms, now_ms, 1.0, 0.0, nats, may_eject)
+            return AttemptResult(
+                outcome, sender, began_ms, now_ms, 1.0, 0.0, unreached_nats, may_eject
+            )
         slowness = latency_ms / max(1.0, grant.sample.usual_ms)
         age_nats = grant.age_nats(latency_ms)
         if not self._policies.has(Policy.HANG_EVIDENCE):
             age_nats = 0.0
         began_ms = grant.began_ms
-        return WorkEnd(
-            ending, sender, began_ms, now_ms, slowness, age_nats, nats, may_eject
+        return AttemptResult(
+            outcome,
+            sender,
+            began_ms,
+            now_ms,
+            slowness,
+            age_nats,
+            unreached_nats,
+            may_eject,
         )
 
-    def _note_change(
-        self, gauge: TargetGauge, ending: Ending, sender: HostId | None
+    def _record_state_change(
+        self, tracker: TargetTracker, outcome: Ending, sender: HostId | None
     ) -> None:
         self._changes.append(
-            StandingChange(
-                gauge.listed.identity,
-                gauge.standing,
-                ending,
+            EjectionStateChange(
+                tracker.listed.identity,
+                tracker.ejection_state,
+                outcome,
                 sender,
-                gauge.ejected_until_ms,
+                tracker.ejected_until_ms,
             )
         )
 
     def settle(self, now_ms: float) -> None:
-        """Notice what became due, and place those who wait or give them up."""
+        """Apply what became due by time, then serve the queue."""
         self._refresh(now_ms)
         self._serve_queue(now_ms)
 
     def _serve_queue(self, now_ms: float) -> None:
         if not len(self._queue):
             return
-        slots = self._open_slots(self._queue.work_ms)
+        slots = self._open_slots(self._queue.mean_latency_ms)
         free = self._any_free(now_ms)
         for waiting in self._queue.in_order(now_ms):
-            if self._crashes.is_held(waiting.ask.content):
-                hold_ms = self._crashes.hold_ms(waiting.ask.content)
+            if self._crashes.is_held(waiting.request.content):
+                hold_ms = self._crashes.hold_ms(waiting.request.content)
                 waiting.settled = Refused("held", hold_ms)
                 continue
-            # Most that wait in a full service find nothing free: a look at each target
-            # for each of them would take the placer's processor just when it is short.
+            # Few requests queued at a full service find a free slot. Checking every
+            # target for each would take the placer's processor just when it is short.
             if free and self._queue.may_start(waiting, slots, now_ms):
-                waiting.settled = self._place(waiting.ask, now_ms)
+                waiting.settled = self._place(waiting.request, now_ms)
                 free = waiting.settled is None or self._any_free(now_ms)
-            hopeful = self._queue.has_hope(waiting, slots, now_ms)
-            if waiting.settled is None and not hopeful:
-                waiting.settled = refused_as_full(self._usual_ms(waiting.ask))
+            in_time = self._queue.can_finish_in_time(waiting, slots, now_ms)
+            if waiting.settled is None and not in_time:
+                waiting.settled = refused_as_full(self._typical_ms(waiting.request))
         self._queue.drop_settled()
 
     def abandon(self, waiting: Waiting) -> None:
-        """Forget an ask whose caller has left."""
+        """Drop a queued request whose caller has left."""
         self._queue.remove(waiting)
 
     @property
     def queued(self) -> int:
-        """Return how many asks wait."""
+        """Return how many requests are queued."""
         return len(self._queue)
--- a/src/crocusspindle/core/target_choice.py
+++ b/src/crocusspindle/core/target_choice.py
@@ -9,195 +9,224 @@
 from crocusspindle.core.listed_target import Readiness, TargetIdentity
 from crocusspindle.core.policies import Policies, Policy
 from crocusspindle.core.target_costs import (
-    Weighing,
+    CostContext,
+    active_cost_terms,
     cost_ms,
-    least_far_cost_ms,
-    terms_of,
+    min_other_domain_cost_ms,
 )
-from crocusspindle.core.target_gauge import OVERDUE_NATS, Standing, TargetGauge
-from crocusspindle.core.turn_rate import TurnRate
+from crocusspindle.core.target_gauge import SUSPICIOUS_AGE_NATS, Standing, TargetTracker
+from crocusspindle.core.turn_rate import GrayOnsetRate
 from crocusspindle.ids import ContentDigest, HostId
 
-UNSAFE_TRIAL_AFTER_MS: Final = 1_500.0
-"""A trial waits this long for a request that may be repeated before it risks one that
-may not."""
+NON_IDEMPOTENT_TRIAL_AFTER_MS: Final = 1_500.0
+"""How long a trial waits for an idempotent request before it risks another one."""
 
 
 class TargetChoice:
-    """Choose by what the service's targets owe, have proved and would cost."""
+    """Choose a target by the service's floor, recent success and cost."""
 
     def __init__(
         self,
-        gauges: Mapping[TargetIdentity, TargetGauge],
+        trackers: Mapping[TargetIdentity, TargetTracker],
         floor: FloorWatch,
-        turns: TurnRate,
+        onset_rate: GrayOnsetRate,
         policies: Policies,
         crashes: CrashTable,
     ) -> None:
         self._crashes = crashes
-        self._gauges = gauges
+        self._trackers = trackers
         self._floor = floor
-        self._turns = turns
+        self._onset_rate = onset_rate
         self._policies = policies
-        self._terms = terms_of(policies)
-        self._blames_paths = policies.has(Policy.PATH_BLAME)
-        self._near_first = policies.has(Policy.NEAR_FIRST)
+        self._cost_terms = active_cost_terms(policies)
+        self._avoids_failed_paths = policies.has(Policy.PATH_ATTRIBUTION)
+        self._local_domain_first = policies.has(Policy.LOCAL_DOMAIN_FIRST)
 
-    def _usable(self, ask: Ask, now_ms: float) -> list[TargetGauge]:
+    def _usable(self, request: Ask, now_ms: float) -> list[TargetTracker]:
         return [
-            gauge
-            for gauge in self._gauges.values()
-            if gauge.standing is not Standing.EJECTED
-            and gauge.free(now_ms)
-            and gauge.listed.readiness is Readiness.READY
-            and gauge.listed.identity not in ask.excluded
-            and (not gauge.paths or self.reachable(gauge, ask.sender, now_ms))
+            tracker
+            for tracker in self._trackers.values()
+            if tracker.ejection_state is not Standing.EJECTED
+            and tracker.has_free_slot(now_ms)
+            and tracker.listed.readiness is Readiness.READY
+            and tracker.listed.identity not in request.excluded
+            and (
+                not tracker.avoid_until_ms
+                or self.reachable(tracker, request.sender, now_ms)
+            )
         ]
 
-    def reachable(self, gauge: TargetGauge, sender: HostId, now_ms: float) -> bool:
-        """Return True unless a sender's path to a target is in doubt."""
-        return not self._blames_paths or gauge.reachable(sender, now_ms)
+    def reachable(self, tracker: TargetTracker, sender: HostId, now_ms: float) -> bool:
+        """Return True unless the sender's path to a target failed recently."""
+        return not self._avoids_failed_paths or tracker.reachable(sender, now_ms)
 
-    def choose(self, ask: Ask, usual_ms: float, now_ms: float) -> TargetGauge | None:
-        """Return the target that an ask should go to, if one can take it."""
-        isolation = self._crashes.isolation(ask.content)
+    def choose(
+        self, request: Ask, usual_ms: float, now_ms: float
+    ) -> TargetTracker | None:
+        """Return the target for a placement request, if one can take it."""
+        isolation = self._crashes.isolation(request.content)
         if isolation is not Isolation.NONE:
-            return self._apart(ask, isolation, usual_ms, now_ms)
-        owed = self._owed(ask, now_ms)
-        if owed is not None:
-            return owed
-        usable = self._usable(ask, now_ms)
-        trial = None if ask.repeat else self._trial(usable, ask, now_ms)
-        if trial is not None:
-            return trial
-        well = [gauge for gauge in usable if gauge.standing is Standing.WELL]
-        if self._policies.has(Policy.DOUBT_BY_AGE):
-            well = [
-                gauge for gauge in well if gauge.doubt_nats(now_ms) < OVERDUE_NATS
-            ] or well
-        if well:
-            return self._best(well, ask, usual_ms, now_ms)
-        trials = [gauge for gauge in usable if gauge.standing is Standing.TRIAL]
+            return self._isolated_target(request, isolation, usual_ms, now_ms)
+        due = self._due_target(request, now_ms)
+        if due is not None:
+            return due
+        usable = self._usable(request, now_ms)
+        trial_target = (
+            None if request.repeat else self._trial_target(usable, request, now_ms)
+        )
+        if trial_target is not None:
+            return trial_target
+        healthy = [
+            tracker for tracker in usable if tracker.ejection_state is Standing.HEALTHY
+        ]
+        if self._policies.has(Policy.SUSPICION_BY_AGE):
+            healthy = [
+                tracker
+                for tracker in healthy
+                if tracker.doubt_nats(now_ms) < SUSPICIOUS_AGE_NATS
+            ] or healthy
+        if healthy:
+            return self._cheapest(healthy, request, usual_ms, now_ms)
+        trials = [
+            tracker for tracker in usable if tracker.ejection_state is Standing.TRIAL
+        ]
         return trials[0] if trials else None
 
-    def _apart(
-        self, ask: Ask, isolation: Isolation, usual_ms: float, now_ms: float
-    ) -> TargetGauge | None:
-        """Return a target for a request that may end it, with others' work there."""
-        if self._runs(ask.content):
+    def _isolated_target(
+        self, request: Ask, isolation: Isolation, usual_ms: float, now_ms: float
+    ) -> TargetTracker | None:
+        """Return a target for a request that may crash it and break its other work."""
+        if self._is_running(request.content):
             return None
-        usable = self._usable(ask, now_ms)
-        usable = [g for g in usable if g.standing is Standing.WELL] or usable
-        idle = [gauge for gauge in usable if not gauge.grants]
+        usable = self._usable(request, now_ms)
+        usable = [
+            candidate
+            for candidate in usable
+            if candidate.ejection_state is Standing.HEALTHY
+        ] or usable
+        idle = [tracker for tracker in usable if not tracker.grants]
         if isolation is Isolation.REQUIRED:
             usable = []
         candidates = idle or usable
-        return self._best(candidates, ask, usual_ms, now_ms) if candidates else None
+        return (
+            self._cheapest(candidates, request, usual_ms, now_ms)
+            if candidates
+            else None
+        )
 
-    def _runs(self, content: ContentDigest) -> bool:
+    def _is_running(self, content: ContentDigest) -> bool:
         return any(
             grant.content == content
-            for gauge in self._gauges.values()
-            for grant in gauge.grants.values()
+            for tracker in self._trackers.values()
+            for grant in tracker.grants.values()
         )
 
-    def _owed(self, ask: Ask, now_ms: float) -> TargetGauge | None:
-        """Return a target that is owed work for the sake of the service's floor."""
-        if ask.repeat or not self._policies.has(Policy.FLOOR_TRIALS):
+    def _due_target(self, request: Ask, now_ms: float) -> TargetTracker | None:
+        """Return a due target if this request should keep up the service's floor."""
+        if request.repeat or not self._policies.has(Policy.FLOOR_TRIALS):
             return None
-        owed = [
-            gauge
-            for gauge in self._floor.owed(self._gauges.values(), now_ms)
-            if self._has_room(gauge, now_ms)
-            and self._may_take_owed(gauge, ask, now_ms)
-            and gauge.listed.identity not in ask.excluded
-            and self.reachable(gauge, ask.sender, now_ms)
+        due = [
+            tracker
+            for tracker in self._floor.due_targets(self._trackers.values(), now_ms)
+            if self._has_free_slot(tracker, now_ms)
+            and self._may_use_due_target(tracker, request, now_ms)
+            and tracker.listed.identity not in request.excluded
+            and self.reachable(tracker, request.sender, now_ms)
         ]
-        if not owed:
+        if not due:
             return None
         chosen = min(
-            owed,
-            key=lambda gauge: (
-                gauge.standing is Standing.EJECTED,
-                gauge.last_failed_ms,
-                gauge.last_used_ms,
+            due,
+            key=lambda tracker: (
+                tracker.ejection_state is Standing.EJECTED,
+                tracker.last_failed_ms,
+                tracker.last_used_ms,
             ),
         )
-        if chosen.standing is Standing.EJECTED:
+        if chosen.ejection_state is Standing.EJECTED:
             chosen.begin_trial(now_ms)
         return chosen
 
-    def _may_take_owed(self, gauge: TargetGauge, ask: Ask, now_ms: float) -> bool:
-        # Callers of its own domain mostly come in time. Taken by whoever comes first,
-        # owed work went to another domain three times in four, at the price of its
-        # bytes.
-        near = gauge.listed.domain == ask.domain
-        return near or self._floor.is_pressing(gauge, now_ms)
+    def _may_use_due_target(
+        self, tracker: TargetTracker, request: Ask, now_ms: float
+    ) -> bool:
+        # Requests from the target's own domain mostly arrive in time. Taken from any
+        # domain, three in four floor requests would cause traffic between domains.
+        local = tracker.listed.domain == request.domain
+        return local or self._floor.is_urgent(tracker, now_ms)
 
     @staticmethod
-    def _has_room(gauge: TargetGauge, now_ms: float) -> bool:
-        if gauge.standing is Standing.EJECTED:
-            room = len(gauge.grants) < gauge.listed.slots
-            return room and not gauge.is_isolated and gauge.limit.allows(now_ms)
-        return gauge.free(now_ms)
-
-    def _trial(
-        self, usable: list[TargetGauge], ask: Ask, now_ms: float
-    ) -> TargetGauge | None:
+    def _has_free_slot(tracker: TargetTracker, now_ms: float) -> bool:
+        if tracker.ejection_state is Standing.EJECTED:
+            has_slot = len(tracker.grants) < tracker.listed.slots
+            return has_slot and not tracker.is_isolated and tracker.limit.allows(now_ms)
+        return tracker.has_free_slot(now_ms)
+
+    def _trial_target(
+        self, usable: list[TargetTracker], request: Ask, now_ms: float
+    ) -> TargetTracker | None:
         """Return a target that this request should try, if there is one."""
-        trials = [gauge for gauge in usable if gauge.standing is Standing.TRIAL]
-        if not self._policies.has(Policy.SAFE_FIRST):
+        trials = [
+            tracker for tracker in usable if tracker.ejection_state is Standing.TRIAL
+        ]
+        if not self._policies.has(Policy.IDEMPOTENT_FIRST):
             return trials[0] if trials else None
-        if not ask.idempotent:
+        if not request.idempotent:
             trials = [
-                gauge
-                for gauge in trials
-                if now_ms - gauge.ejected_until_ms > UNSAFE_TRIAL_AFTER_MS
+                tracker
+                for tracker in trials
+                if now_ms - tracker.ejected_until_ms > NON_IDEMPOTENT_TRIAL_AFTER_MS
             ]
         else:
-            trials += self._returning(ask, now_ms)
-        trials.sort(key=lambda gauge: gauge.listed.domain != ask.domain)
+            trials += self._ejected_to_try(request, now_ms)
+        trials.sort(key=lambda tracker: tracker.listed.domain != request.domain)
         if not trials:
             return None
-        if trials[0].standing is Standing.EJECTED:
+        if trials[0].ejection_state is Standing.EJECTED:
             trials[0].begin_trial(now_ms)
         return trials[0]
 
-    def _returning(self, ask: Ask, now_ms: float) -> list[TargetGauge]:
-        # What tries an ejected target costs its caller a second sending at most, so
-        # the target need not stay out for as long as it would for work that runs once.
+    def _ejected_to_try(self, request: Ask, now_ms: float) -> list[TargetTracker]:
+        # An idempotent request that tries an ejected target risks at most a second
+        # attempt, so the ejection can be shorter than for work that runs only once.
         return [
-            gauge
-            for gauge in self._gauges.values()
-            if gauge.may_be_tried(now_ms)
-            and gauge.limit.allows(now_ms)
-            and gauge.listed.readiness is Readiness.READY
-            and gauge.listed.identity not in ask.excluded
-            and self.reachable(gauge, ask.sender, now_ms)
+            tracker
+            for tracker in self._trackers.values()
+            if tracker.may_be_tried(now_ms)
+            and tracker.limit.allows(now_ms)
+            and tracker.listed.readiness is Readiness.READY
+            and tracker.listed.identity not in request.excluded
+            and self.reachable(tracker, request.sender, now_ms)
         ]
 
-    def _best(
+    def _cheapest(
         self,
-        targets: list[TargetGauge],
-        ask: Ask,
+        targets: list[TargetTracker],
+        request: Ask,
         usual_ms: float,
         now_ms: float,
-    ) -> TargetGauge:
-        weighing = Weighing(ask, usual_ms, self._turns, now_ms)
-        explores = ask.idempotent and not ask.repeat
-        explores = explores and self._policies.has(Policy.SAFE_FIRST)
-        if explores and self._floor.pressed:
-            unused = [gauge for gauge in targets if self._floor.unused(gauge, now_ms)]
-            targets = unused or targets
-
-        def rank(gauge: TargetGauge) -> tuple[float, float]:
-            since_ms = gauge.proved_ms if explores else gauge.last_used_ms
-            return (cost_ms(gauge, weighing, self._terms), since_ms)
-
-        if not self._near_first:
+    ) -> TargetTracker:
+        context = CostContext(request, usual_ms, self._onset_rate, now_ms)
+        explores = request.idempotent and not request.repeat
+        explores = explores and self._policies.has(Policy.IDEMPOTENT_FIRST)
+        if explores and self._floor.floor_at_risk:
+            due = [
+                tracker for tracker in targets if self._floor.is_due(tracker, now_ms)
+            ]
+            targets = due or targets
+
+        def rank(tracker: TargetTracker) -> tuple[float, float]:
+            since_ms = tracker.last_success_ms if explores else tracker.last_used_ms
+            return (cost_ms(tracker, context, self._cost_terms), since_ms)
+
+        if not self._local_domain_first:
             return min(targets, key=rank)
-        near = [gauge for gauge in targets if gauge.listed.domain == ask.domain]
-        best = min(near, key=rank, default=None)
-        if best is not None and rank(best)[0] < least_far_cost_ms(weighing):
-            return best
+        local = [
+            tracker for tracker in targets if tracker.listed.domain == request.domain
+        ]
+        cheapest = min(local, key=rank, default=None)
+        if cheapest is not None and rank(cheapest)[0] < min_other_domain_cost_ms(
+            context
+        ):
+            return cheapest
         return min(targets, key=rank)
--- a/src/crocusspindle/core/target_gauge.py
+++ b/src/crocusspindle/core/target_gauge.py
@@ -1,4 +1,4 @@
-"""Judge one target by the endings of the work that the fleet sends to it."""
+"""Track the state of one target from the outcomes of the fleet's attempts at it."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -11,7 +11,7 @@
 
 
 class Ending(Enum):
-    """Tell how one sending ended, as the sender saw it."""
+    """State how one attempt ended, as its sender saw it."""
 
     ANSWERED = "answered"
     ERROR = "error"
@@ -35,95 +35,100 @@
         return self.arrived and self not in (Ending.SHED, Ending.MISDIRECTED)
 
 
-BROKEN_OFF: Final = frozenset(
+EJECTING_OUTCOMES: Final = frozenset(
     {Ending.BROKEN, Ending.CRASHED, Ending.CLOSED, Ending.MISDIRECTED}
 )
-"""Endings that a sound target hardly ever gives."""
+"""Outcomes that a healthy target hardly ever causes."""
 
 
 class Standing(Enum):
-    """Tell what work a target gets."""
+    """State what work a target gets."""
 
-    WELL = "well"
+    HEALTHY = "well"
     TRIAL = "trial"
     EJECTED = "ejected"
 
 
 ERROR_NATS: Final = 3.9
-"""ln(0.6 / 0.012): an error speaks for a gray target, which fails most of its work,
-against a sound one, which fails about one request in eighty."""
+"""ln(0.6 / 0.012), the evidence of an error: a gray target fails most of its work, a
+healthy one about one request in eighty."""
 
 ANSWER_NATS: Final = -0.9
-"""ln(0.4 / 0.988): an answer speaks as much for a sound target."""
+"""ln(0.4 / 0.988), the evidence of an answer, in favour of a healthy target."""
 
 EJECT_NATS: Final = 6.0
-"""Two errors with at most one answer between. A sound target shows that about once
-in 4,000 requests, and one ejection of some seconds costs nobody a request."""
+"""Ejection threshold: two errors with at most one answer between them. A healthy target
+reaches it about once in 4,000 requests, and its ejection for some seconds fails no
+request."""
 
 EJECTION_MS: Final = 2_500.0
-"""The first ejection. Gray windows last from two to twenty seconds, so it doubles with
-each return that meets the target still gray: such a return can cost a request that must
-not be repeated, and a longer wait costs only room that a third of the load leaves."""
+"""Length of the first ejection. Gray failures last from two to twenty seconds, so it
+doubles each time the target is still gray on its return: such a return can fail a
+request that must not be retried, while a longer ejection costs only capacity that is
+spare at a third of the load."""
 
 EJECTION_MAX_MS: Final = 10_000.0
 RELAPSE_MS: Final = 6_000.0
-"""A failure this soon after a return doubles the next ejection."""
+"""A failure within this time after a passed trial doubles the next ejection."""
 
 UNREACHED_EJECTION_MS: Final = 1_000.0
-"""An ejection since nobody reached the target. A return that meets it still out of
-reach costs one caller the time to connect and runs nothing, so it comes soon."""
+"""Length of an ejection for failed connections. A return while the target is still
+unreachable costs one caller the time to connect and runs nothing, so it comes soon."""
 
 SUSPECT_MAX_NATS: Final = 9.0
-"""More is not kept against a target that may not be ejected: ten answers clear it."""
+"""Cap on evidence against a target that may not be ejected: ten answers clear it."""
 
 TRIAL_NATS: Final = 2.0
-"""Half of what a single error says: on trial the first failure ejects again, and so
-does work that one sound request in twenty outlasts."""
+"""Half the evidence of a single error: on trial the first failure ejects again, and so
+does work that lasts longer than 19 in 20 healthy requests."""
 
-SOUND_AGAIN_MS: Final = 2_000.0
-"""How long after its last failure a target may be counted as sound again."""
+HEALTHY_AFTER_MS: Final = 2_000.0
+"""Time after its last failure from which a target may count as healthy again."""
 
-TRIALS: Final = 3
-"""Answers in a row that end a trial. A gray target passes one request in seven, three
-in a row one time in 300."""
+TRIAL_ANSWERS: Final = 3
+"""Consecutive answers that end a trial. A gray target answers one request in seven, and
+three in a row one time in 300."""
 
-PATH_MS: Final = 4_000.0
+PATH_AVOIDANCE_MS: Final = 4_000.0
 """How long a sender avoids a target that it could not reach while others could."""
 
-AGREEING_MS: Final = 2_000.0
-"""Senders that cannot reach a target within this, with no answer between, agree. As
-many blame the target as it takes to outweigh bad paths; one alone blames its path."""
+AGREEMENT_MS: Final = 2_000.0
+"""Time within which failures to connect by several senders, with no answer in between,
+count together. Enough of them to outweigh bad paths are attributed to the target; that
+of a single sender is attributed to its path."""
 
 SHED_PAUSE_MS: Final = 80.0
-"""A target that refuses for want of room gets no more for a part of its usual work."""
+"""Pause after a full target sheds a request: a fraction of its typical latency."""
 
-SHED_STEP: Final = 0.2
-"""Weight of the newest sending in the part that a target refuses: five tell."""
+SHED_WEIGHT: Final = 0.2
+"""Weight of the newest attempt in the shed fraction: about the last five count."""
 
 SHED_MAX: Final = 0.9
-"""A target that refuses all counts as taking one in ten, or it would never be asked."""
+"""Cap on the shed fraction: a target that sheds everything counts as accepting one
+request in ten, or it would never be tried again."""
 
-LATENCY_STEP: Final = 0.2
-SLOW: Final = 1.4
-"""Work that spreads by its own mean, as exponential work does, moves the mean of the
-last answers by a third either way: only what is beyond that makes a target slow."""
+LATENCY_WEIGHT: Final = 0.2
+SLOW_RATIO: Final = 1.4
+"""Ratio of the mean latency to the typical one from which a target counts as slow.
+Latencies that spread by their own mean, as exponential ones do, move the mean of the
+last answers by a third either way: only a larger ratio makes a target slow."""
 
-FORGET_MS: Final = 3_000.0
-"""A latency not renewed for this long gives way to the group's: a cold or slow target
-must get the chance to show that it has become quick."""
+LATENCY_FADE_MS: Final = 3_000.0
+"""A latency not updated for this long gives way to the typical one of the service: a
+cold or slow target must get the chance to show that it has become fast."""
 
-OVERDUE_NATS: Final = 4.0
-"""Running work as old as this is rare, one time in fifty with one request running: the
-target gets no new work while others can take it."""
+SUSPICIOUS_AGE_NATS: Final = 4.0
+"""Age that one healthy request in fifty reaches, if it runs alone: the target gets no
+new work while others can take it."""
 
 HUNG_NATS: Final = 9.0
-"""Of sound targets one in 8,000 looks like this; two requests older than all of the
-last two hundred do. It takes the target out before its callers' time is over."""
+"""One healthy target in 8,000 reaches this, as do two requests older than all of the
+last two hundred. It ejects the target before its callers' deadlines."""
 
 
 @dataclass(slots=True)
 class Grant:
-    """Hold one placement that has not ended."""
+    """Hold one placement whose attempt has not ended."""
 
     grant: GrantId
     sender: HostId
@@ -132,25 +137,25 @@
     route: str
     aim_ms: float
     sample: LatencySample
-    least_ms: float
+    min_suspicious_ms: float
     content: ContentDigest = NO_CONTENT
 
     def age_nats(self, age_ms: float) -> float:
-        """Return how unusual it is for sound work to last for an age."""
-        return self.sample.doubt_nats(age_ms, self.least_ms)
+        """Return -ln of the probability that healthy work lasts longer than an age."""
+        return self.sample.doubt_nats(age_ms, self.min_suspicious_ms)
 
 
 @dataclass(frozen=True, slots=True)
-class WorkEnd:
-    """Tell how one sending ended, against what is usual of its kind.
+class AttemptResult:
+    """Describe how one attempt ended, compared with typical work of its kind.
 
-    `slowness` is how many times the usual an answer took, `age_nats` how unusual it is
-    for sound work to last as long, `unreached_nats` how much it says of a target that
-    one sender does not reach it. Without `may_eject`, mere suspicion ejects nobody: so
-    many are out that the rest would be short.
+    `slowness` is the ratio of its latency to the typical one, `age_nats` is -ln of the
+    probability that healthy work lasts as long, `unreached_nats` the evidence against a
+    target that one sender cannot reach. Without `may_eject`, suspicion alone ejects no
+    target: so many are ejected that the rest would be short of slots.
     """
 
-    ending: Ending
+    outcome: Ending
     sender: HostId
     began_ms: float
     ended_ms: float
@@ -161,57 +166,57 @@
 
 
 @dataclass(slots=True)
-class TargetGauge:
+class TargetTracker:
     """Hold what is known of one target."""
 
     listed: ListedTarget
-    updated_ms: float
-    proved_ms: float
+    latency_updated_ms: float
+    last_success_ms: float
     slowness: float = 1.0
-    refusing: float = 0.0
+    shed_fraction: float = 0.0
     grants: dict[GrantId, Grant] = field(default_factory=dict)
-    standing: Standing = Standing.WELL
-    nats: float = 0.0
+    ejection_state: Standing = Standing.HEALTHY
+    failure_nats: float = 0.0
     last_failed_ms: float = float("-inf")
     last_used_ms: float = float("-inf")
     ejected_until_ms: float = float("-inf")
-    returned_ms: float = float("-inf")
+    trial_passed_ms: float = float("-inf")
     ejection_ms: float = EJECTION_MS
     trial_answers: int = 0
     full_until_ms: float = float("-inf")
-    unreached: dict[HostId, float] = field(default_factory=dict)
-    paths: dict[HostId, float] = field(default_factory=dict)
-    isolated: GrantId | None = None
+    unreached_at_ms: dict[HostId, float] = field(default_factory=dict)
+    avoid_until_ms: dict[HostId, float] = field(default_factory=dict)
+    isolated_grant: GrantId | None = None
     limit: RateLimit = field(default_factory=RateLimit)
 
     @property
     def is_isolated(self) -> bool:
-        """Return True while a request runs here that may end the target."""
-        return self.isolated is not None and self.isolated in self.grants
+        """Return True while an isolated request runs, which may crash the target."""
+        return self.isolated_grant is not None and self.isolated_grant in self.grants
 
-    def free(self, now_ms: float) -> bool:
+    def has_free_slot(self, now_ms: float) -> bool:
         """Return True if the target has a slot for one more request."""
         if now_ms < self.full_until_ms or self.is_isolated:
             return False
-        return len(self.grants) < self.room and self.limit.allows(now_ms)
+        return len(self.grants) < self.concurrency_limit and self.limit.allows(now_ms)
 
     @property
-    def room(self) -> int:
-        """Return how many requests the target gets at once."""
-        if self.standing is not Standing.TRIAL:
+    def concurrency_limit(self) -> int:
+        """Return how many requests the target may run at once."""
+        if self.ejection_state is not Standing.TRIAL:
             return self.listed.slots
-        # Each answer speaks for the target, and lets it take one more at a time.
+        # Each answer is evidence for the target and admits one more request at a time.
         return min(self.listed.slots, 1 + self.trial_answers)
 
     def doubt_nats(self, now_ms: float) -> float:
-        """Return how unusual the ages of its running work are, taken together."""
+        """Return the evidence of a hang from the ages of the running work."""
         if not self.grants:
             return 0.0
-        # Usual work adds one nat a request.
+        # Typical work adds one nat a request.
         return self.age_nats(now_ms) - max(0, len(self.grants) - 1)
 
     def age_nats(self, now_ms: float) -> float:
-        """Return -ln of the chance that sound work runs for as long as all of its."""
+        """Return -ln of the probability that healthy work runs for as long as this."""
         if not self.grants:
             return 0.0
         return sum(
@@ -219,132 +224,139 @@
         )
 
     def expected_slowness(self, now_ms: float) -> float:
-        """Return how many times the usual its work takes, nearer to 1 the older it is.
+        """Return the expected ratio of its latency to the typical one, fading to 1.
 
-        What is within the spread of sound targets' own work counts as usual: chasing
-        it would send all work to whichever target was lucky last.
+        A ratio within the spread of healthy targets counts as 1: to follow it would
+        send all work to the target that was lucky last.
         """
-        if self.slowness < SLOW:
+        if self.slowness < SLOW_RATIO:
             return 1.0
-        part = min(1.0, (now_ms - self.updated_ms) / FORGET_MS)
-        return self.slowness + (1.0 - self.slowness) * part
+        fraction = min(1.0, (now_ms - self.latency_updated_ms) / LATENCY_FADE_MS)
+        return self.slowness + (1.0 - self.slowness) * fraction
 
     def reachable(self, sender: HostId, now_ms: float) -> bool:
-        """Return True unless the sender's path to the target failed lately."""
-        return now_ms >= self.paths.get(sender, float("-inf"))
+        """Return True unless the sender's path to the target failed recently."""
+        return now_ms >= self.avoid_until_ms.get(sender, float("-inf"))
 
-    def refresh(self, now_ms: float) -> None:
-        """Let an ejection end in a trial."""
-        if self.standing is Standing.EJECTED and now_ms >= self.ejected_until_ms:
+    def end_due_ejection(self, now_ms: float) -> None:
+        """Begin a trial if the ejection is over."""
+        if self.ejection_state is Standing.EJECTED and now_ms >= self.ejected_until_ms:
             self.begin_trial(now_ms)
 
     def drop_expired(self, now_ms: float) -> None:
-        """Drop placements whose senders died, or whose word was lost."""
-        over = [key for key, grant in self.grants.items() if now_ms > grant.until_ms]
-        for key in over:
-            del self.grants[key]
-
-    def note(self, end: WorkEnd) -> None:
-        """Take the end of one sending into account."""
-        now_ms = end.ended_ms
-        if end.ending is Ending.ANSWERED:
-            self._answered(end, now_ms)
-        elif end.ending is Ending.ERROR:
-            self._suspect(ERROR_NATS, end, now_ms)
-        elif end.ending in BROKEN_OFF:
-            # Sound targets hardly ever break a connection; a gray one breaks all.
+        """Drop grants whose senders crashed or whose outcome reports were lost."""
+        expired = [
+            grant_id
+            for grant_id, grant in self.grants.items()
+            if now_ms > grant.until_ms
+        ]
+        for grant_id in expired:
+            del self.grants[grant_id]
+
+    def record_result(self, result: AttemptResult) -> None:
+        """Update the state by the result of one attempt."""
+        now_ms = result.ended_ms
+        if result.outcome is Ending.ANSWERED:
+            self._record_answer(result, now_ms)
+        elif result.outcome is Ending.ERROR:
+            self._add_failure_evidence(ERROR_NATS, result, now_ms)
+        elif result.outcome in EJECTING_OUTCOMES:
+            # A healthy target hardly ever breaks a connection; a gray one breaks all.
             self.last_failed_ms = now_ms
             self.eject(now_ms)
-        elif end.ending is Ending.UNREACHED:
-            self._not_reached(end, now_ms)
-        elif end.ending in (Ending.SILENT, Ending.ABANDONED):
-            self._not_answered(end, now_ms)
-        elif end.ending is Ending.SHED:
-            self._refused_work(now_ms)
-
-    def _answered(self, end: WorkEnd, now_ms: float) -> None:
-        self.nats = max(0.0, self.nats + ANSWER_NATS)
-        self.slowness += LATENCY_STEP * (end.slowness - self.slowness)
-        self.refusing -= SHED_STEP * self.refusing
-        self.updated_ms = now_ms
-        self.proved_ms = max(self.proved_ms, end.began_ms)
-        self.unreached.clear()
-        self.paths.pop(end.sender, None)
-        if self.standing is Standing.TRIAL:
+        elif result.outcome is Ending.UNREACHED:
+            self._record_unreached(result, now_ms)
+        elif result.outcome in (Ending.SILENT, Ending.ABANDONED):
+            self._record_missing_answer(result, now_ms)
+        elif result.outcome is Ending.SHED:
+            self._record_shed(now_ms)
+
+    def _record_answer(self, result: AttemptResult, now_ms: float) -> None:
+        self.failure_nats = max(0.0, self.failure_nats + ANSWER_NATS)
+        self.slowness += LATENCY_WEIGHT * (result.slowness - self.slowness)
+        self.shed_fraction -= SHED_WEIGHT * self.shed_fraction
+        self.latency_updated_ms = now_ms
+        self.last_success_ms = max(self.last_success_ms, result.began_ms)
+        self.unreached_at_ms.clear()
+        self.avoid_until_ms.pop(result.sender, None)
+        if self.ejection_state is Standing.TRIAL:
             self.trial_answers += 1
-            if self.trial_answers >= TRIALS:
-                self.standing = Standing.WELL
-                self.returned_ms = now_ms
-                self.nats = 0.0
-
-    def _not_answered(self, end: WorkEnd, now_ms: float) -> None:
-        # Nobody waits any more for work that may hang: its caller's time is over, or
-        # another target was quicker. Forgotten, the next request would meet the same.
-        if end.age_nats >= OVERDUE_NATS and end.ending is Ending.SILENT:
-            self.paths[end.sender] = now_ms + PATH_MS
-        if end.age_nats > 1.0:
-            self._suspect(end.age_nats - 1.0, end, end.began_ms)
-
-    def _refused_work(self, now_ms: float) -> None:
+            if self.trial_answers >= TRIAL_ANSWERS:
+                self.ejection_state = Standing.HEALTHY
+                self.trial_passed_ms = now_ms
+                self.failure_nats = 0.0
+
+    def _record_missing_answer(self, result: AttemptResult, now_ms: float) -> None:
+        # The request may hang: its caller's deadline passed, or another target answered
+        # first. If it were ignored, the next request would hang as well.
+        if result.age_nats >= SUSPICIOUS_AGE_NATS and result.outcome is Ending.SILENT:
+            self.avoid_until_ms[result.sender] = now_ms + PATH_AVOIDANCE_MS
+        if result.age_nats > 1.0:
+            self._add_failure_evidence(result.age_nats - 1.0, result, result.began_ms)
+
+    def _record_shed(self, now_ms: float) -> None:
         if len(self.grants) + 1 >= self.listed.slots:
             self.full_until_ms = now_ms + SHED_PAUSE_MS
             return
-        # It has slots that idle, so it refuses a part of its work and is not full.
-        self.refusing += SHED_STEP * (1.0 - self.refusing)
+        # It sheds work while it has idle slots, so it is not full.
+        self.shed_fraction += SHED_WEIGHT * (1.0 - self.shed_fraction)
 
     @property
-    def sendings_each(self) -> float:
-        """Return how many sendings one request takes at this target."""
-        return 1.0 / (1.0 - min(SHED_MAX, self.refusing))
-
-    def _not_reached(self, end: WorkEnd, now_ms: float) -> None:
-        self.paths[end.sender] = now_ms + PATH_MS
-        self.unreached[end.sender] = now_ms
-        since_ms = now_ms - AGREEING_MS
-        recent = [at for at in self.unreached.values() if at > since_ms]
-        if len(recent) < 2 or self.standing is Standing.EJECTED:  # noqa: PLR2004 - one
+    def attempts_per_request(self) -> float:
+        """Return the expected number of attempts per request at this target."""
+        return 1.0 / (1.0 - min(SHED_MAX, self.shed_fraction))
+
+    def _record_unreached(self, result: AttemptResult, now_ms: float) -> None:
+        self.avoid_until_ms[result.sender] = now_ms + PATH_AVOIDANCE_MS
+        self.unreached_at_ms[result.sender] = now_ms
+        since_ms = now_ms - AGREEMENT_MS
+        recent = [at_ms for at_ms in self.unreached_at_ms.values() if at_ms > since_ms]
+        if len(recent) < 2 or self.ejection_state is Standing.EJECTED:  # noqa: PLR2004 - one
             return
-        if len(recent) * end.unreached_nats >= EJECT_NATS:
+        if len(recent) * result.unreached_nats >= EJECT_NATS:
             self.last_failed_ms = now_ms
             self._eject_for(UNREACHED_EJECTION_MS, now_ms)
 
-    def _suspect(self, nats: float, end: WorkEnd, failed_ms: float) -> None:
+    def _add_failure_evidence(
+        self, failure_nats: float, result: AttemptResult, failed_ms: float
+    ) -> None:
         self.last_failed_ms = max(self.last_failed_ms, failed_ms)
-        if self.standing is Standing.EJECTED:
+        if self.ejection_state is Standing.EJECTED:
             return
-        self.nats = min(SUSPECT_MAX_NATS, self.nats + nats)
-        limit_nats = TRIAL_NATS if self.standing is Standing.TRIAL else EJECT_NATS
-        if self.nats >= limit_nats and end.may_eject:
-            self.eject(end.ended_ms)
+        self.failure_nats = min(SUSPECT_MAX_NATS, self.failure_nats + failure_nats)
+        limit_nats = TRIAL_NATS if self.ejection_state is Standing.TRIAL else EJECT_NATS
+        if self.failure_nats >= limit_nats and result.may_eject:
+            self.eject(result.ended_ms)
 
     def eject(self, now_ms: float) -> None:
         """Give the target no work for a while, longer after each relapse.
 
         Work that was running at its ejection ends after it, and is no relapse.
         """
-        if self.standing is Standing.EJECTED:
+        if self.ejection_state is Standing.EJECTED:
             return
         relapsed = (
-            self.standing is Standing.TRIAL or now_ms - self.returned_ms < RELAPSE_MS
+            self.ejection_state is Standing.TRIAL
+            or now_ms - self.trial_passed_ms < RELAPSE_MS
         )
-        longer_ms = min(EJECTION_MAX_MS, self.ejection_ms * 2)
-        self.ejection_ms = longer_ms if relapsed else EJECTION_MS
+        doubled_ms = min(EJECTION_MAX_MS, self.ejection_ms * 2)
+        self.ejection_ms = doubled_ms if relapsed else EJECTION_MS
         self._eject_for(self.ejection_ms, now_ms)
 
     def _eject_for(self, length_ms: float, now_ms: float) -> None:
-        self.standing = Standing.EJECTED
+        self.ejection_state = Standing.EJECTED
         self.ejected_until_ms = now_ms + length_ms
-        self.nats = 0.0
+        self.failure_nats = 0.0
 
     def may_be_tried(self, now_ms: float) -> bool:
-        """Return True if a request that may be repeated can try the ejected target."""
-        if self.standing is not Standing.EJECTED:
+        """Return True if an idempotent request may try the ejected target."""
+        if self.ejection_state is not Standing.EJECTED:
             return False
-        return now_ms - self.last_failed_ms >= SOUND_AGAIN_MS
+        return now_ms - self.last_failed_ms >= HEALTHY_AFTER_MS
 
     def begin_trial(self, now_ms: float) -> None:
-        """End the ejection; the target has to prove itself."""
-        self.standing = Standing.TRIAL
+        """End the ejection; the target has to pass a trial."""
+        self.ejection_state = Standing.TRIAL
         self.trial_answers = 0
-        self.nats = 0.0
+        self.failure_nats = 0.0
         self.ejected_until_ms = min(self.ejected_until_ms, now_ms)
--- a/src/crocusspindle/core/turn_rate.py
+++ b/src/crocusspindle/core/turn_rate.py
@@ -1,59 +1,60 @@
-"""Learn how often targets of a service turn from sound to gray, and for how long."""
+"""Estimate how often targets of a service turn gray, and for how long."""
 
 import math
 from typing import Final
 
 MEMORY_MS: Final = 60_000.0
-"""Some windows of each target of a small service, and soon enough to notice an hour of
-trouble: the figures are used as rates, so a factor of two in them matters little."""
+"""Decay time: some gray failures of each target of a small service, and short enough to
+notice an hour of faults. The estimates serve as rates, where a factor of two matters
+little."""
 
-FIRST_TURN_MS: Final = 100_000.0
-"""Taken for the time between a target's turns until there is evidence: one turn in this
-time of one target is what the service begins with, and is soon outweighed."""
+PRIOR_ONSET_INTERVAL_MS: Final = 100_000.0
+"""Prior interval between a target's onsets of gray failure: a service begins with one
+onset of one target in this time, which observed ones soon outweigh."""
 
-FIRST_OUT_SHARE: Final = 0.05
-"""Taken for the share of time that targets are gray, for as long."""
+PRIOR_GRAY_SHARE: Final = 0.05
+"""Prior share of time for which targets are gray, over the same interval."""
 
 
-class TurnRate:
-    """Count targets that turned gray, and for how long targets were in and out."""
+class GrayOnsetRate:
+    """Count onsets of gray failure, and how long targets are healthy or not."""
 
     def __init__(self, now_ms: float) -> None:
-        self._turns = 1.0
-        self._sound_ms = FIRST_TURN_MS * (1.0 - FIRST_OUT_SHARE)
-        self._out_ms = FIRST_TURN_MS * FIRST_OUT_SHARE
-        self._at_ms = now_ms
-
-    def pass_time(self, sound: int, out: int, now_ms: float) -> None:
-        """Count the time since the last call for as many targets, in and out."""
-        passed_ms = now_ms - self._at_ms
+        self._onsets = 1.0
+        self._healthy_ms = PRIOR_ONSET_INTERVAL_MS * (1.0 - PRIOR_GRAY_SHARE)
+        self._gray_ms = PRIOR_ONSET_INTERVAL_MS * PRIOR_GRAY_SHARE
+        self._updated_ms = now_ms
+
+    def record_time(self, healthy: int, unhealthy: int, now_ms: float) -> None:
+        """Add the time since the last call for targets that are healthy or not."""
+        passed_ms = now_ms - self._updated_ms
         if passed_ms <= 0.0:
             return
-        keep = math.exp(-passed_ms / MEMORY_MS)
-        first_out_ms = FIRST_TURN_MS * FIRST_OUT_SHARE
-        first_sound_ms = FIRST_TURN_MS - first_out_ms
-        self._turns = 1.0 + (self._turns - 1.0) * keep
-        sound_ms = (self._sound_ms - first_sound_ms) * keep + sound * passed_ms
-        out_ms = (self._out_ms - first_out_ms) * keep + out * passed_ms
-        self._sound_ms = first_sound_ms + sound_ms
-        self._out_ms = first_out_ms + out_ms
-        self._at_ms = now_ms
-
-    def turned(self, was_sound: bool) -> None:
-        """Count a target that turned gray, unless it was on trial for that already."""
-        self._turns += was_sound
+        decay = math.exp(-passed_ms / MEMORY_MS)
+        prior_gray_ms = PRIOR_ONSET_INTERVAL_MS * PRIOR_GRAY_SHARE
+        prior_healthy_ms = PRIOR_ONSET_INTERVAL_MS - prior_gray_ms
+        self._onsets = 1.0 + (self._onsets - 1.0) * decay
+        healthy_ms = (self._healthy_ms - prior_healthy_ms) * decay + healthy * passed_ms
+        gray_ms = (self._gray_ms - prior_gray_ms) * decay + unhealthy * passed_ms
+        self._healthy_ms = prior_healthy_ms + healthy_ms
+        self._gray_ms = prior_gray_ms + gray_ms
+        self._updated_ms = now_ms
+
+    def record_onset(self, was_healthy: bool) -> None:
+        """Count a target that turned gray, unless it was already on trial for that."""
+        self._onsets += was_healthy
 
     @property
-    def gray_ms(self) -> float:
-        """Return how long targets are gray, on average."""
-        return self._out_ms / self._turns
+    def mean_gray_ms(self) -> float:
+        """Return the mean duration of a gray failure."""
+        return self._gray_ms / self._onsets
 
-    def chance(self, proof_age_ms: float) -> float:
-        """Return the chance that a target proved so long ago is gray by now.
+    def probability(self, success_age_ms: float) -> float:
+        """Return the probability that a target is gray so long after its last success.
 
-        It grows with the rate of turns at first, and comes to rest at the share of time
-        for which targets are gray at all: an old proof says no more than none.
+        It grows with the onset rate at first, and converges to the share of time for
+        which targets are gray at all: an old success says no more than none.
         """
-        share = self._out_ms / (self._out_ms + self._sound_ms)
-        turns = max(0.0, proof_age_ms) * self._turns / self._sound_ms
-        return share * (1.0 - math.exp(-turns / share))
+        gray_share = self._gray_ms / (self._gray_ms + self._healthy_ms)
+        onsets = max(0.0, success_age_ms) * self._onsets / self._healthy_ms
+        return gray_share * (1.0 - math.exp(-onsets / gray_share))
--- a/src/crocusspindle/core/unreached_share.py
+++ b/src/crocusspindle/core/unreached_share.py
@@ -1,31 +1,31 @@
-"""Learn which share of a service's sendings do not reach their target.
+"""Estimate the share of a service's attempts that do not reach their target.
 
-One sender that cannot reach a target may have lost its path to it; that says little of
+A sender that cannot reach a target may have lost its path to it. That says little of
 the target while many paths are bad, and much while all are good.
 """
 
 import math
 from typing import Final
 
-FIRST_SHARE: Final = 0.03
-"""Taken until there is evidence: two senders that agree then blame the target, since
-both paths would be bad once in a thousand times."""
+INITIAL_SHARE: Final = 0.03
+"""Initial estimate: two senders that agree then suffice to eject the target, since both
+paths would be bad once in a thousand times."""
 
-STEP: Final = 0.02
-"""Weight of the newest sending: the last fifty or so count, a second of a service."""
+SAMPLE_WEIGHT: Final = 0.02
+"""Weight of the newest attempt: the last fifty or so count, a second of a service."""
 
 
 class UnreachedShare:
-    """Follow the share of sendings that could not reach a target."""
+    """Track the share of attempts that could not reach a target."""
 
     def __init__(self) -> None:
-        self._share = FIRST_SHARE
+        self._share = INITIAL_SHARE
 
-    def note(self, unreached: bool) -> None:
-        """Take one sending into account."""
-        self._share += STEP * (unreached - self._share)
+    def record(self, unreached: bool) -> None:
+        """Record whether one attempt failed to reach its target."""
+        self._share += SAMPLE_WEIGHT * (unreached - self._share)
 
     @property
-    def nats(self) -> float:
-        """Return how much a sender that reaches nothing speaks against its target."""
-        return -math.log(max(FIRST_SHARE, self._share))
+    def unreached_nats(self) -> float:
+        """Return the evidence against a target that one sender cannot reach."""
+        return -math.log(max(INITIAL_SHARE, self._share))
--- a/src/crocusspindle/core/wait_line.py
+++ b/src/crocusspindle/core/wait_line.py
@@ -1,42 +1,45 @@
-"""Keep the asks that wait for a slot of one service, in the order of their serving."""
+"""Keep the queued requests of one service, in the order in which they are served."""
 
 from collections.abc import Iterator
 
 from crocusspindle.core.asks import Waiting
 
 
-class WaitLine:
-    """Keep asks in order of arrival and yield them in order of serving."""
+class WaitQueue:
+    """Keep requests in order of arrival and yield them in order of service."""
 
     def __init__(self) -> None:
-        self._waiting: list[Waiting] = []
+        self._entries: list[Waiting] = []
 
     def __len__(self) -> int:
-        """Return how many asks wait."""
-        return len(self._waiting)
+        """Return how many requests are queued."""
+        return len(self._entries)
 
-    def add(self, waiting: Waiting) -> None:
-        """Let an ask wait behind all of its kind."""
-        self._waiting.append(waiting)
+    def add(self, entry: Waiting) -> None:
+        """Append a request behind all others of its priority."""
+        self._entries.append(entry)
 
-    def remove(self, waiting: Waiting) -> None:
-        """Forget an ask, whether or not it waits."""
-        self._waiting = [entry for entry in self._waiting if entry is not waiting]
+    def remove(self, entry: Waiting) -> None:
+        """Drop a request, whether or not it is queued."""
+        self._entries = [other for other in self._entries if other is not entry]
 
     def ahead_of(self, priority: int, now_ms: float) -> int:
-        """Return how many wait that go before a new ask of a rank."""
+        """Return how many queued requests go before a new one of a priority."""
         return sum(
-            entry.ask.priority <= priority and now_ms < entry.prompt_until_ms
-            for entry in self._waiting
+            entry.request.priority <= priority and now_ms < entry.on_time_until_ms
+            for entry in self._entries
         )
 
     def in_order(self, now_ms: float) -> Iterator[Waiting]:
-        """Yield all that wait, those first that can still be in time."""
+        """Yield all queued requests, those first that can still be on time."""
         yield from sorted(
-            self._waiting,
-            key=lambda entry: (now_ms >= entry.prompt_until_ms, entry.ask.priority),
+            self._entries,
+            key=lambda entry: (
+                now_ms >= entry.on_time_until_ms,
+                entry.request.priority,
+            ),
         )
 
     def drop_settled(self) -> None:
-        """Forget those that have their answer."""
-        self._waiting = [entry for entry in self._waiting if entry.settled is None]
+        """Drop the requests that have a decision."""
+        self._entries = [entry for entry in self._entries if entry.settled is None]
--- a/tests/core/test_any_service.py
+++ b/tests/core/test_any_service.py
@@ -1,10 +1,9 @@
-"""Place requests of services that nobody has seen, against an oracle.
+"""Place requests of services drawn by seed, and compare the losses with an oracle's.
 
-Sizes, work, errors and faults are drawn by seed, from a single target to 200, work of
-2 ms to 20 s, gray windows of half a second to a minute. No figure is a site's. What
-callers lose is bounded against an oracle that knows which targets are gray and sends
-nothing there; what it cannot avoid, as requests that meet a target while it turns gray,
-is allowed by its number of windows.
+There are 1 to 200 targets, work of 2 ms to 20 s, errors, and gray failures of half a
+second to a minute. The oracle knows which targets are gray and sends nothing there.
+What no placer can avoid, as requests that meet a target while it turns gray, is allowed
+for by the number of gray failures.
 """
 
 import random
@@ -16,7 +15,7 @@
 
 SERVICES = 24
 REQUESTS = 3_000
-KINDS = (
+GRAY_OUTCOMES = (
     Ending.SILENT,
     Ending.BROKEN,
     Ending.ERROR,
@@ -25,18 +24,18 @@
 )
 
 
-def drawn(seed: int) -> Site:
+def random_site(seed: int) -> Site:
     """Return a service drawn by a seed, with a fifth to three fifths of it in use."""
-    draw = random.Random(seed)
-    targets = round(200 ** draw.random()) + 1
-    slots = round(64 ** draw.random())
-    work_ms = 2.0 * 10_000.0 ** draw.random()
-    spread = draw.uniform(0.1, 0.8)
-    load = draw.uniform(0.2, 0.6)
+    rng = random.Random(seed)
+    targets = round(200 ** rng.random()) + 1
+    slots = round(64 ** rng.random())
+    work_ms = 2.0 * 10_000.0 ** rng.random()
+    spread = rng.uniform(0.1, 0.8)
+    load = rng.uniform(0.2, 0.6)
     rate_per_s = load * targets * slots / work_ms * 1e3
     length_ms = REQUESTS / rate_per_s * 1e3
-    safe = draw.uniform(0.1, 0.9)
-    aim_ms = work_ms * draw.uniform(3.0, 5.0)
+    safe = rng.uniform(0.1, 0.9)
+    aim_ms = work_ms * rng.uniform(3.0, 5.0)
     works = [
         Work(
             name,
@@ -46,25 +45,25 @@
             spread,
             aim_ms,
             4.0 * aim_ms,
-            error_share=draw.uniform(0.0, 0.1),
+            error_share=rng.uniform(0.0, 0.1),
         )
         for name, idempotent, share in (("safe", True, safe), ("once", False, 1 - safe))
     ]
-    shortest_ms = 500.0 * 60.0 ** draw.random()
+    shortest_ms = 500.0 * 60.0 ** rng.random()
     gray = Gray(
-        share=draw.uniform(0.05, 0.3),
+        share=rng.uniform(0.05, 0.3),
         period_ms=4.0 * shortest_ms,
         shortest_ms=shortest_ms,
         longest_ms=2.0 * shortest_ms,
-        fails=draw.uniform(0.5, 1.0),
-        ending=draw.choice(KINDS),
+        fails=rng.uniform(0.5, 1.0),
+        ending=rng.choice(GRAY_OUTCOMES),
     )
-    domains = min(targets, draw.randint(1, 4))
+    domains = min(targets, rng.randint(1, 4))
     return Site(targets, slots, works, gray, domains=domains, length_ms=length_ms)
 
 
-def windows(site: Site) -> float:
-    """Return how many gray windows there are to be found."""
+def gray_windows(site: Site) -> float:
+    """Return how many gray failures there are to be found."""
     assert site.gray is not None
     periods = site.length_ms / site.gray.period_ms + 1.0
     return site.targets * site.gray.share * periods
@@ -72,18 +71,18 @@
 
 @pytest.mark.parametrize("seed", range(SERVICES))
 def test_an_unknown_service_loses_little_beyond_what_an_oracle_loses(seed):
-    """A service is put behind the fleet that is like none before it.
+    """Guards against thresholds that fit only some services.
 
-    Thresholds that fit other services would take its targets out for being slow, or
-    leave gray ones in.
+    On another one they would eject its targets for being slow, or leave gray ones in
+    use.
     """
-    site = drawn(seed)
-    found = PlacingTrial(site, seed).run()
-    known = PlacingTrial(site, seed, oracle=True).run()
-    # A window is found by as many requests as its target has slots, and returns meet
-    # it again: three for each slot, of all requests at most a tenth.
-    allowed = min(0.1 * REQUESTS, 3.0 * site.slots * windows(site))
+    site = random_site(seed)
+    tallies = PlacingTrial(site, seed).run()
+    oracle = PlacingTrial(site, seed, oracle=True).run()
+    # A gray failure is found by as many requests as its target has slots, and met again
+    # at returns: three for each slot, of all requests at most a tenth.
+    max_extra_failures = min(0.1 * REQUESTS, 3.0 * site.slots * gray_windows(site))
     for name in ("once", "safe"):
-        beyond = found[name].lost + found[name].refused
-        beyond -= known[name].lost + known[name].refused
-        assert beyond <= allowed + 0.02 * found[name].asked
+        extra_failures = tallies[name].lost + tallies[name].refused
+        extra_failures -= oracle[name].lost + oracle[name].refused
+        assert extra_failures <= max_extra_failures + 0.02 * tallies[name].asked
--- a/tests/core/test_floor_under_trouble.py
+++ b/tests/core/test_floor_under_trouble.py
@@ -1,4 +1,4 @@
-"""Keep work at a service's sound targets while others lose what they get."""
+"""Keep work at a service's healthy targets while others lose what they get."""
 
 import heapq
 import random
@@ -15,54 +15,54 @@
 
 FLOOR_SHARE = 0.7
 WINDOW_MS = 2_000.0
-SOUND_AFTER_MS = 2_000.0
-LONG_MS = 3_000.0
-SOUND_AFTER_LONG_MS = 6_000.0
-"""A target that failed for a moment is owed work two seconds later; one that was in
-trouble for long, three times as late."""
+HEALTHY_AFTER_MS = 2_000.0
+LONG_FAULT_MS = 3_000.0
+HEALTHY_AFTER_LONG_MS = 6_000.0
+"""A target is due for work two seconds after a brief fault, and three times as late
+after a long one."""
 
 WORK_MS = 600.0
 DEADLINE_MS = 6_000.0
 TARGETS = 40
 SLOTS = 6
-PER_S = 45
-UNTIL_MS = 24_000.0
-TRIED_MAX = 4
+REQUESTS_PER_S = 45
+RUN_MS = 24_000.0
+MAX_TARGETS_TRIED = 4
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """Have some targets lose a share of their work in a time."""
+class Fault:
+    """Make some targets lose a share of their work for a time."""
 
     targets: range
     from_ms: float
     to_ms: float
     share: float
-    ending: Ending
+    outcome: Ending
 
     @property
-    def sound_ms(self) -> float:
-        """Return from when on its targets are owed work again."""
-        long = self.to_ms - self.from_ms > LONG_MS
-        return self.to_ms + (SOUND_AFTER_LONG_MS if long else SOUND_AFTER_MS)
+    def healthy_from_ms(self) -> float:
+        """Return from when on its targets are due for work again."""
+        long = self.to_ms - self.from_ms > LONG_FAULT_MS
+        return self.to_ms + (HEALTHY_AFTER_LONG_MS if long else HEALTHY_AFTER_MS)
 
 
-ALWAYS_BROKEN = Trouble(range(7), 0.0, UNTIL_MS, 1.0, Ending.BROKEN)
-NEVER_REACHED = Trouble(range(7, 14), 0.0, UNTIL_MS, 1.0, Ending.UNREACHED)
-BROKEN_BY_TURNS = [
-    Trouble(range(14, 32), at, at + 500.0, 0.5, Ending.BROKEN)
+ALWAYS_BROKEN = Fault(range(7), 0.0, RUN_MS, 1.0, Ending.BROKEN)
+NEVER_REACHED = Fault(range(7, 14), 0.0, RUN_MS, 1.0, Ending.UNREACHED)
+BROKEN_INTERMITTENTLY = [
+    Fault(range(14, 32), at, at + 500.0, 0.5, Ending.BROKEN)
     for at in (2_000.0, 5_500.0, 9_500.0, 14_500.0)
 ]
-HANGS = Trouble(range(34, 40), 6_000.0, 12_000.0, 0.7, Ending.SILENT)
-ERRORS_BY_TURNS = [
-    Trouble(range(8, 16), at, at + 700.0, 0.5, Ending.ERROR)
+HANGS = Fault(range(34, 40), 6_000.0, 12_000.0, 0.7, Ending.SILENT)
+ERRORS_INTERMITTENTLY = [
+    Fault(range(8, 16), at, at + 700.0, 0.5, Ending.ERROR)
     for at in range(500, 24_000, 1_500)
 ]
-HANGS_FOR_A_MOMENT = [
-    Trouble(range(16, 28), at, at + 900.0, 1.0, Ending.SILENT)
+HANGS_BRIEFLY = [
+    Fault(range(16, 28), at, at + 900.0, 1.0, Ending.SILENT)
     for at in (2_000.0, 11_000.0)
 ]
-COSTS_MS = {Ending.BROKEN: 3.0, Ending.UNREACHED: 300.0, Ending.SILENT: DEADLINE_MS}
+DURATIONS_MS = {Ending.BROKEN: 3.0, Ending.UNREACHED: 300.0, Ending.SILENT: DEADLINE_MS}
 
 
 @dataclass
@@ -72,147 +72,163 @@
     began_ms: float
     sender: HostId
     domain: DomainId
-    safe: bool
-    tried: set[TargetIdentity] = field(default_factory=set)
+    idempotent: bool
+    tried_targets: set[TargetIdentity] = field(default_factory=set)
 
-    def ask(self, now_ms: float) -> Ask:
+    def placement_request(self, now_ms: float) -> Ask:
         return Ask(
             self.sender,
             self.domain,
             "r",
-            self.safe,
+            self.idempotent,
             1,
             max(0.0, self.began_ms + 1_500.0 - now_ms),
             self.began_ms + DEADLINE_MS,
-            excluded=frozenset(self.tried),
+            excluded=frozenset(self.tried_targets),
         )
 
 
 @dataclass(order=True)
-class End:
-    """Hold the end of a sending that is to come."""
+class AttemptEnd:
+    """Hold the coming end of an attempt."""
 
     at_ms: float
     number: int
-    case: Case = field(compare=False)
-    placed: Placed = field(compare=False)
-    ending: Ending = field(compare=False)
-    lasted_ms: float = field(compare=False)
+    caller_request: Case = field(compare=False)
+    placement: Placed = field(compare=False)
+    outcome: Ending = field(compare=False)
+    latency_ms: float = field(compare=False)
 
 
-class Service:
-    """Run one service's requests through its placer, and note who got which."""
+class ServiceSimulation:
+    """Run requests through a placer, and record what each target gets."""
 
-    def __init__(self, troubles: list[Trouble], safe_share: float, seed: int) -> None:
-        self._draw = random.Random(seed)
-        self._troubles = troubles
-        self._safe_share = safe_share
+    def __init__(self, faults: list[Fault], idempotent_share: float, seed: int) -> None:
+        self._rng = random.Random(seed)
+        self._faults = faults
+        self._idempotent_share = idempotent_share
         self.placer = ServicePlacer(FLOOR_SHARE, RepeatBudget(0.2, 200.0, 10_000.0))
-        self.placer.set_targets([_listed(number) for number in range(TARGETS)], 0.0)
-        self.arrived: list[list[float]] = [[] for _ in range(TARGETS)]
-        self.sent: list[tuple[float, bool]] = []
-        self._speeds = [self._draw.uniform(0.6, 2.2) for _ in range(TARGETS)]
+        self.placer.set_targets(
+            [_listed_target(number) for number in range(TARGETS)], 0.0
+        )
+        self.arrivals_ms: list[list[float]] = [[] for _ in range(TARGETS)]
+        self.results: list[tuple[float, bool]] = []
+        self._speed_factors = [self._rng.uniform(0.6, 2.2) for _ in range(TARGETS)]
         self._number = 0
-        self._ends: list[End] = []
+        self._attempt_ends: list[AttemptEnd] = []
         self._waiting: list[tuple[Case, Waiting]] = []
 
-    def play(self) -> None:
-        """Send requests at random moments to the end of the day."""
+    def run(self) -> None:
+        """Send requests at random times until the end of the run."""
         now_ms = 0.0
-        while now_ms < UNTIL_MS:
-            now_ms += self._draw.expovariate(PER_S / 1e3)
-            self._end_until(now_ms)
-            self._send(self._case(now_ms), now_ms)
+        while now_ms < RUN_MS:
+            now_ms += self._rng.expovariate(REQUESTS_PER_S / 1e3)
+            self._finish_attempts_until(now_ms)
+            self._request_target(self._draw_request(now_ms), now_ms)
 
-    def _case(self, now_ms: float) -> "Case":
+    def _draw_request(self, now_ms: float) -> "Case":
         return Case(
             now_ms,
-            HostId(f"entry{self._draw.randrange(30)}"),
-            DomainId("abcd"[self._draw.randrange(4)]),
-            self._draw.random() < self._safe_share,
+            HostId(f"entry{self._rng.randrange(30)}"),
+            DomainId("abcd"[self._rng.randrange(4)]),
+            self._rng.random() < self._idempotent_share,
         )
 
-    def _send(self, case: "Case", now_ms: float) -> None:
-        answer = self.placer.ask(case.ask(now_ms), now_ms)
-        if isinstance(answer, Waiting):
-            self._waiting.append((case, answer))
+    def _request_target(self, caller_request: "Case", now_ms: float) -> None:
+        decision = self.placer.ask(caller_request.placement_request(now_ms), now_ms)
+        if isinstance(decision, Waiting):
+            self._waiting.append((caller_request, decision))
         else:
-            self._go_on(case, answer, now_ms)
+            self._start_attempt(caller_request, decision, now_ms)
 
-    def _look_after_waiting(self, now_ms: float) -> None:
+    def _process_decided(self, now_ms: float) -> None:
         settled = [one for one in self._waiting if one[1].settled is not None]
         self._waiting = [one for one in self._waiting if one[1].settled is None]
-        for case, waiting in settled:
-            self._go_on(case, waiting.settled, now_ms)
-
-    def _go_on(self, case: "Case", placed: Placed | Refused, now_ms: float) -> None:
-        if isinstance(placed, Refused):
-            self.sent.append((case.began_ms, False))
+        for caller_request, waiting in settled:
+            self._start_attempt(caller_request, waiting.settled, now_ms)
+
+    def _start_attempt(
+        self,
+        caller_request: "Case",
+        placement: Placed | Refused,
+        now_ms: float,
+    ) -> None:
+        if isinstance(placement, Refused):
+            self.results.append((caller_request.began_ms, False))
             return
-        target = int(placed.target.identity[1:])
-        case.tried.add(placed.target.identity)
-        ending = self._ending(target, now_ms)
-        if ending is not Ending.UNREACHED:
-            self.arrived[target].append(now_ms)
-            self.sent.append((case.began_ms, ending is Ending.ANSWERED))
-        work_ms = WORK_MS * self._speeds[target] * self._draw.uniform(0.6, 1.4)
-        lasts_ms = COSTS_MS.get(ending, work_ms)
+        target = int(placement.target.identity[1:])
+        caller_request.tried_targets.add(placement.target.identity)
+        outcome = self._draw_outcome(target, now_ms)
+        if outcome is not Ending.UNREACHED:
+            self.arrivals_ms[target].append(now_ms)
+            self.results.append((caller_request.began_ms, outcome is Ending.ANSWERED))
+        work_ms = WORK_MS * self._speed_factors[target] * self._rng.uniform(0.6, 1.4)
+        duration_ms = DURATIONS_MS.get(outcome, work_ms)
         self._number += 1
-        end = End(now_ms + lasts_ms, self._number, case, placed, ending, lasts_ms)
-        heapq.heappush(self._ends, end)
+        attempt_end = AttemptEnd(
+            now_ms + duration_ms,
+            self._number,
+            caller_request,
+            placement,
+            outcome,
+            duration_ms,
+        )
+        heapq.heappush(self._attempt_ends, attempt_end)
 
-    def _end_until(self, now_ms: float) -> None:
-        while self._ends and self._ends[0].at_ms <= now_ms:
-            end = heapq.heappop(self._ends)
+    def _finish_attempts_until(self, now_ms: float) -> None:
+        while self._attempt_ends and self._attempt_ends[0].at_ms <= now_ms:
+            attempt_end = heapq.heappop(self._attempt_ends)
             self.placer.ended(
-                end.placed.target.identity,
-                end.placed.grant,
-                end.ending,
-                end.case.sender,
-                end.lasted_ms,
-                end.at_ms,
+                attempt_end.placement.target.identity,
+                attempt_end.placement.grant,
+                attempt_end.outcome,
+                attempt_end.caller_request.sender,
+                attempt_end.latency_ms,
+                attempt_end.at_ms,
             )
-            self._look_after_waiting(end.at_ms)
-            if end.ending is not Ending.UNREACHED:
+            self._process_decided(attempt_end.at_ms)
+            if attempt_end.outcome is not Ending.UNREACHED:
                 continue
-            if len(end.case.tried) < TRIED_MAX:
-                self._send(end.case, end.at_ms)
+            if len(attempt_end.caller_request.tried_targets) < MAX_TARGETS_TRIED:
+                self._request_target(attempt_end.caller_request, attempt_end.at_ms)
             else:
-                self.sent.append((end.case.began_ms, False))
-
-    def _ending(self, target: int, now_ms: float) -> Ending:
-        for trouble in self._troubles:
-            runs = trouble.from_ms <= now_ms < trouble.to_ms
-            if target in trouble.targets and runs:
-                lost = self._draw.random() < trouble.share
-                return trouble.ending if lost else Ending.ANSWERED
+                self.results.append((attempt_end.caller_request.began_ms, False))
+
+    def _draw_outcome(self, target: int, now_ms: float) -> Ending:
+        for fault in self._faults:
+            runs = fault.from_ms <= now_ms < fault.to_ms
+            if target in fault.targets and runs:
+                lost = self._rng.random() < fault.share
+                return fault.outcome if lost else Ending.ANSWERED
         return Ending.ANSWERED
 
-    def _is_sound(self, target: int, from_ms: float, to_ms: float) -> bool:
+    def _is_healthy(self, target: int, from_ms: float, to_ms: float) -> bool:
         return not any(
-            target in trouble.targets
-            and trouble.from_ms < to_ms
-            and trouble.sound_ms > from_ms
-            for trouble in self._troubles
+            target in fault.targets
+            and fault.from_ms < to_ms
+            and fault.healthy_from_ms > from_ms
+            for fault in self._faults
         )
 
-    def windows_below_the_floor(self) -> list[float]:
-        """Return the begins of windows in which too few sound targets got work."""
-        begins = [500.0 * number for number in range(int(UNTIL_MS / 500.0) - 4)]
+    def windows_below_floor(self) -> list[float]:
+        """Return the starts of windows in which too few healthy targets got work."""
+        begins = [500.0 * number for number in range(int(RUN_MS / 500.0) - 4)]
         return [begin for begin in begins if self._is_below(begin)]
 
     def _is_below(self, begin_ms: float) -> bool:
         end_ms = begin_ms + WINDOW_MS
-        served = [ok for at, ok in self.sent if begin_ms <= at < end_ms]
+        served = [ok for at, ok in self.results if begin_ms <= at < end_ms]
         unserved = 1.0 - sum(served) / len(served)
-        sound = [n for n in range(TARGETS) if self._is_sound(n, begin_ms, end_ms)]
+        healthy = [n for n in range(TARGETS) if self._is_healthy(n, begin_ms, end_ms)]
         used = [
-            n for n in sound if any(begin_ms <= at < end_ms for at in self.arrived[n])
+            n
+            for n in healthy
+            if any(begin_ms <= at < end_ms for at in self.arrivals_ms[n])
         ]
-        return 0.1 < unserved < 0.5 and len(used) < FLOOR_SHARE * len(sound)
+        return 0.1 < unserved < 0.5 and len(used) < FLOOR_SHARE * len(healthy)
 
 
-def _listed(number: int) -> ListedTarget:
+def _listed_target(number: int) -> ListedTarget:
     return ListedTarget(
         TargetIdentity(f"t{number}"),
         ServiceId("orders"),
@@ -225,30 +241,30 @@
 
 @pytest.mark.parametrize("safe_share", [0.0, 0.3])
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_sound_targets_get_work_while_many_others_lose_it(seed, safe_share):
-    """A third of the targets is out of reach or broken, others break by turns, and more
-    than a tenth of the orders is lost.
+def test_healthy_targets_get_work_while_many_others_lose_it(seed, safe_share):
+    """A third of the targets are unreachable or broken, others break intermittently.
 
-    Targets that were sound again stayed without work for two seconds and more, and
-    the rest carried it all: each order by itself was best off at a near, quick and
-    lately proved target, and only work that may be repeated ever tried the others.
+    More than a tenth of the requests are lost. Each one by itself is placed best at a
+    fast target of its own domain with a recent success, and only idempotent work tries
+    others. So targets that are healthy again could stay without work for two seconds
+    and more, while the rest carry all of it.
     """
-    troubles = [ALWAYS_BROKEN, NEVER_REACHED, *BROKEN_BY_TURNS, HANGS]
-    service = Service(troubles, safe_share, seed)
-    service.play()
-    assert service.windows_below_the_floor() == []
+    faults = [ALWAYS_BROKEN, NEVER_REACHED, *BROKEN_INTERMITTENTLY, HANGS]
+    service = ServiceSimulation(faults, safe_share, seed)
+    service.run()
+    assert service.windows_below_floor() == []
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_targets_that_hung_for_a_moment_get_work_again(seed):
-    """A third of the targets hang for a moment and are sound again, and what they were
-    sent meanwhile is never answered. Others break or fail besides.
+def test_targets_that_hung_briefly_get_work_again(seed):
+    """A third of the targets hang briefly, and work sent meanwhile is never answered.
 
-    For as long as that work ran, six seconds, they got no other, with slots to spare:
-    its age spoke against them. The few targets that had not hung carried it all.
+    Others break or fail besides. Guards against the age of that work, which runs for
+    six seconds, counting against targets that are healthy again: the few that had not
+    hung would carry all work, while the others have free slots.
     """
-    broken = Trouble(range(8), 0.0, UNTIL_MS, 1.0, Ending.BROKEN)
-    troubles = [broken, *ERRORS_BY_TURNS, *HANGS_FOR_A_MOMENT]
-    service = Service(troubles, 0.0, seed)
-    service.play()
-    assert service.windows_below_the_floor() == []
+    broken = Fault(range(8), 0.0, RUN_MS, 1.0, Ending.BROKEN)
+    faults = [broken, *ERRORS_INTERMITTENTLY, *HANGS_BRIEFLY]
+    service = ServiceSimulation(faults, 0.0, seed)
+    service.run()
+    assert service.windows_below_floor() == []
--- a/tests/core/test_placing_cost.py
+++ b/tests/core/test_placing_cost.py
@@ -1,7 +1,7 @@
 """Count what placing a request costs in a service of hundreds of targets.
 
-The pattern is a busy service of a large fleet: one host places 330 requests a second on
-337 targets, a third of which refuse half of their work.
+One host of a large fleet places 330 requests a second on 337 targets, a third of which
+shed half of their work.
 """
 
 import sys
@@ -20,12 +20,12 @@
 REFUSING = Gray(0.3, 60_000.0, 60_000.0, 60_000.0, 0.55, Ending.SHED)
 
 CALLS_PER_REQUEST = 10_000
-"""A quarter of a microsecond each, these are 2.5 ms: a host of two cores then places
+"""At a quarter of a microsecond each, these are 2.5 ms: a host of two cores then places
 400 requests a second with half of its processor."""
 
 
 def calls_of(site: Site) -> tuple[int, int]:
-    """Return how many calls of functions a play makes, and how many requests."""
+    """Return the number of function calls of a run, and that of its requests."""
     calls = 0
 
     def count(frame: FrameType, event: str, argument: Any) -> None:
@@ -43,6 +43,6 @@
 
 @pytest.mark.parametrize("gray", [None, REFUSING], ids=["calm", "refusing"])
 def test_placing_among_hundreds_of_targets_leaves_the_host_time_to_serve(gray):
-    """Guards against a placer too busy to answer, whom others take for silent."""
+    """Guards against a placer too busy to answer, which other nodes take for silent."""
     calls, requests = calls_of(replace(BUSY, gray=gray))
     assert calls <= CALLS_PER_REQUEST * requests
--- a/tests/core/test_placing_load.py
+++ b/tests/core/test_placing_load.py
@@ -1,9 +1,9 @@
-"""Put a service's placer through loads and faults, and look at what callers get.
+"""Put a service's placer through loads and faults, and check what callers get.
 
 All time is virtual. Most loads are those of a booking service: 20 targets of 2 slots,
-23 look-ups a second that may be repeated and 51 confirmations that run once at most,
-together a third of the slots; sound targets fail 1.2 % of their requests. Bounds come
-from what an oracle loses that knows which targets are gray, or from the aim itself.
+23 idempotent look-ups a second and 51 confirmations that run once at most, together a
+third of the slots; healthy targets fail 1.2 % of their requests. Bounds come from the
+losses of an oracle that knows which targets are gray, or from the latency objective.
 """
 
 from dataclasses import replace
@@ -28,51 +28,51 @@
 SEEDS = range(4)
 
 
-def sum_of(tallies: dict[str, Tally]) -> Tally:
-    """Return all routes together."""
-    whole = Tally()
+def total_of(tallies: dict[str, Tally]) -> Tally:
+    """Return the sum of all routes."""
+    total = Tally()
     for tally in tallies.values():
         for field in ("asked", "in_aim", "late", "lost", "refused", "sendings"):
-            setattr(whole, field, getattr(whole, field) + getattr(tally, field))
-    return whole
+            setattr(total, field, getattr(total, field) + getattr(tally, field))
+    return total
 
 
-def played(
+def run_all_seeds(
     site: Site, policies: Policies = ALL_POLICIES, oracle: bool = False
 ) -> dict[str, Tally]:
     """Return the tallies of all seeds together."""
     runs = [PlacingTrial(site, seed, oracle, policies).run() for seed in SEEDS]
     return {
-        work.name: sum_of({str(n): run[work.name] for n, run in enumerate(runs)})
+        work.name: total_of({str(n): run[work.name] for n, run in enumerate(runs)})
         for work in site.works
     }
 
 
-def faster(site: Site, factor: float) -> Site:
-    """Return a site that is asked more often."""
+def with_rate_factor(site: Site, factor: float) -> Site:
+    """Return a site with its request rates multiplied by a factor."""
     works = [replace(work, rate_per_s=work.rate_per_s * factor) for work in site.works]
     return replace(site, works=works)
 
 
-def test_work_that_runs_once_goes_where_an_answer_is_fresh():
+def test_work_that_runs_once_goes_to_targets_with_a_recent_success():
     """Three targets in ten hang for two or three seconds in each nine.
 
-    A confirmation that meets one is lost; a look-up is asked elsewhere. Spread evenly,
-    confirmations would find out as often as look-ups do.
+    A confirmation that meets one is lost; a look-up is retried elsewhere. Spread
+    evenly, confirmations would find gray targets as often as look-ups do.
     """
-    fresh = played(BOOKINGS)["confirm"]
-    spread = played(BOOKINGS, Policies.without(["proof-age"]))["confirm"]
-    oracle = played(BOOKINGS, oracle=True)["confirm"]
-    beyond = fresh.lost_share - oracle.lost_share
-    assert beyond < 0.75 * (spread.lost_share - oracle.lost_share)
+    fresh = run_all_seeds(BOOKINGS)["confirm"]
+    spread = run_all_seeds(BOOKINGS, Policies.without(["proof-age"]))["confirm"]
+    oracle = run_all_seeds(BOOKINGS, oracle=True)["confirm"]
+    avoidable_share = fresh.lost_share - oracle.lost_share
+    assert avoidable_share < 0.75 * (spread.lost_share - oracle.lost_share)
 
 
-def test_a_look_up_that_hangs_is_asked_elsewhere_within_its_aim():
-    """A look-up finds out that a target hangs, as it is meant to.
+def test_a_lookup_that_hangs_is_hedged_within_its_latency_objective():
+    """Look-ups are the requests that find out which targets hang.
 
-    Its caller is to notice nothing: the second sending must still answer in time.
+    Their callers must not notice: the second attempt still has to answer in time.
     """
-    lookups = played(BOOKINGS)["lookup"]
+    lookups = run_all_seeds(BOOKINGS)["lookup"]
     assert lookups.late + lookups.lost < 0.01 * lookups.asked
     assert lookups.sendings < 1.2 * lookups.asked
 
@@ -80,38 +80,38 @@
 def test_long_work_beside_short_work_does_not_hide_that_short_work_hangs():
     """Uploads of 190 ms and archive queries of 640 ms share a service.
 
-    By the latencies of both, an upload that has hung for a second is nothing unusual.
+    By the latencies of both, an upload that has hung for a second is not unusual.
     """
     upload = Work("upload", False, 6.66, 190.0, 0.8, 600.0, 4_000.0)
     archive = Work("archive", True, 13.5, 640.0, 0.5, 2_000.0, 6_000.0, priority=2)
     records = Site(16, 2, (upload, archive), HANGS)
-    archives = played(records)["archive"]
+    archives = run_all_seeds(records)["archive"]
     assert archives.late < 0.02 * archives.asked
     often = replace(records, gray=replace(HANGS, share=0.9))
-    apart = played(often)["upload"]
-    together = played(often, Policies.without(["route-latencies"]))["upload"]
-    assert apart.credit() > together.credit()
+    per_route = run_all_seeds(often)["upload"]
+    together = run_all_seeds(often, Policies.without(["route-latencies"]))["upload"]
+    assert per_route.credit() > together.credit()
 
 
 def test_targets_that_refuse_half_of_their_work_are_not_full():
-    """Each target refuses half of its work for a third of the time, with idle slots.
+    """Each target sheds half of its work for a third of the time, with idle slots.
 
-    Left alone after each refusal, the service would seem full while its slots idle.
+    With a pause after each refusal, the service would seem full while slots idle.
     """
     refuses = Gray(1.0, 30_000.0, 8_500.0, 8_500.0, 0.55, Ending.SHED)
     site = replace(BOOKINGS, gray=refuses)
-    for tally in played(site).values():
+    for tally in run_all_seeds(site).values():
         assert tally.refused < 0.01 * tally.asked
 
 
 def test_over_its_capacity_a_service_serves_the_urgent_in_time():
-    """A service is asked for a quarter more than it can do.
+    """A service gets a quarter more requests than it can carry.
 
-    Confirmations have the higher rank. They are served in time; look-ups take what is
-    left, and those that could not be served hear so at once.
+    Confirmations have the higher priority and are served in time. Look-ups take what is
+    left, and those that cannot be served are refused at once.
     """
-    site = replace(faster(BOOKINGS, 3.4), gray=None)
-    tallies = played(site)
+    site = replace(with_rate_factor(BOOKINGS, 3.4), gray=None)
+    tallies = run_all_seeds(site)
     confirms, lookups = tallies["confirm"], tallies["lookup"]
     assert confirms.refused < 0.01 * confirms.asked
     assert confirms.late < 0.02 * confirms.asked
@@ -119,16 +119,16 @@
 
 
 def test_a_burst_is_served_late_rather_than_refused():
-    """A service at half of its load is asked three times as much for one second.
+    """A service at half of its load gets three times as many requests for one second.
 
-    Who is refused has nothing; who waits for a slot that idles after the burst has an
-    answer, if late. Nobody who can be served in time waits behind one that is late.
+    A refused caller has nothing; one that waits for a slot that idles after the burst
+    has an answer, if late. No request that can be on time waits behind a late one.
     """
-    usual = Work("usual", False, 40.0, 210.0, 0.3, 500.0, 4_000.0)
-    burst = replace(usual, name="burst", rate_per_s=120.0, from_ms=4e3, until_ms=5e3)
-    site = Site(8, 2, (usual, burst), None, domains=1, length_ms=10_000.0)
-    waits = sum_of(played(site))
-    refused = sum_of(played(site, Policies.without(["late-queueing"])))
+    steady = Work("usual", False, 40.0, 210.0, 0.3, 500.0, 4_000.0)
+    burst = replace(steady, name="burst", rate_per_s=120.0, from_ms=4e3, until_ms=5e3)
+    site = Site(8, 2, (steady, burst), None, domains=1, length_ms=10_000.0)
+    waits = total_of(run_all_seeds(site))
+    refused = total_of(run_all_seeds(site, Policies.without(["late-queueing"])))
     assert waits.served > refused.served + 0.02
     assert waits.credit() > refused.credit()
 
@@ -136,8 +136,8 @@
 def test_when_all_targets_slow_down_none_is_taken_for_hung():
     """A store behind a service makes all its targets take two and a half times as long.
 
-    By the latencies of a moment ago all of them hang. Ejected together they would
-    leave callers without a target, though each of them answers.
+    By the latencies of a moment ago all of them hang. Ejected together they would leave
+    callers without a target, though each of them answers.
     """
     slow = Gray(1.0, 60_000.0, 20_000.0, 20_000.0, 1.0, Ending.ANSWERED, slow=2.5)
     site = replace(BOOKINGS, gray=slow)
@@ -148,11 +148,11 @@
         assert tally.served > 0.97
 
 
-def test_paths_that_lose_connections_take_no_target_out():
+def test_paths_that_lose_connections_eject_no_target():
     """One path in eight loses three connections in ten, at every target.
 
-    Entries that agree by chance would take sound targets out one after the other until
-    a third of the service idles while its callers go unserved.
+    Guards against entries that agree by chance: healthy targets would be ejected one
+    after the other until a third of the service idles while requests go unserved.
     """
     site = replace(BOOKINGS, gray=None, paths=BadPaths(0.12, 0.3))
     trial = PlacingTrial(site, 1)
@@ -173,7 +173,7 @@
     """
     gray = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, ending)
     site = replace(BOOKINGS, gray=gray)
-    lost = played(site)["confirm"].lost_share
-    known = played(site, oracle=True)["confirm"].lost_share
-    # Two windows in three seconds, of which each costs two requests at most.
+    lost = run_all_seeds(site)["confirm"].lost_share
+    known = run_all_seeds(site, oracle=True)["confirm"].lost_share
+    # Two gray failures in three seconds, of which each costs two requests at most.
     assert lost - known < 2 * 0.67 / CONFIRM.rate_per_s
--- a/tests/core/test_service_placer.py
+++ b/tests/core/test_service_placer.py
@@ -1,7 +1,7 @@
 """Place the requests of one service: load, gray targets, paths, floors.
 
-The figures are those of today's sites: 8 to 15 targets of 2 to 6 slots, work of some
-200 ms, a third to the whole of the slots taken.
+Typical services have 8 to 15 targets of 2 to 6 slots, work of some 200 ms, and a third
+to the whole of their slots taken.
 """
 
 import random
@@ -20,7 +20,7 @@
 WORK_MS = 200.0
 
 
-def listed(count: int, slots: int = 2) -> list[ListedTarget]:
+def listed_targets(count: int, slots: int = 2) -> list[ListedTarget]:
     return [
         ListedTarget(
             TargetIdentity(f"t{n}"),
@@ -34,14 +34,14 @@
     ]
 
 
-def placer(count: int = 8, slots: int = 2) -> ServicePlacer:
-    made = ServicePlacer(0.7, RepeatBudget(0.2, 58.0, 10_000.0))
-    made.set_targets(listed(count, slots), 0.0)
-    return made
+def make_placer(count: int = 8, slots: int = 2) -> ServicePlacer:
+    placer = ServicePlacer(0.7, RepeatBudget(0.2, 58.0, 10_000.0))
+    placer.set_targets(listed_targets(count, slots), 0.0)
+    return placer
 
 
-def ask(now_ms: float = 0.0, **fields) -> Ask:
-    usual = {
+def request(now_ms: float = 0.0, **fields) -> Ask:
+    defaults = {
         "sender": HostId("entry"),
         "domain": DomainId("a"),
         "route": "r",
@@ -50,18 +50,22 @@
         "aim_ms": 800.0,
         "deadline_ms": now_ms + 2_000.0,
     }
-    return Ask(**{**usual, **fields})
+    return Ask(**{**defaults, **fields})
 
 
-def end(of: ServicePlacer, placed: Placed, ending: Ending, now_ms: float, **fields):
+def end_attempt(
+    placer: ServicePlacer, placed: Placed, outcome: Ending, now_ms: float, **fields
+):
     sender = fields.get("sender", HostId("entry"))
     latency_ms = fields.get("latency_ms", WORK_MS)
-    of.ended(placed.target.identity, placed.grant, ending, sender, latency_ms, now_ms)
+    placer.ended(
+        placed.target.identity, placed.grant, outcome, sender, latency_ms, now_ms
+    )
 
 
 def test_work_fills_free_slots_before_any_target_gets_more():
-    books = placer()
-    placed = [books.ask(ask(), 0.0) for _ in range(16)]
+    books = make_placer()
+    placed = [books.ask(request(), 0.0) for _ in range(16)]
     counts: dict[str, int] = {}
     for place in placed:
         assert isinstance(place, Placed)
@@ -70,143 +74,143 @@
 
 
 def test_a_caller_waits_for_a_slot_by_priority_and_is_refused_when_too_late():
-    """More callers come than there are slots.
+    """More requests arrive than there are slots.
 
-    The urgent ones go first, and those who would be late anyway hear so at once.
+    Urgent ones go first, and those that would be late anyway are refused at once.
     """
-    books = placer(count=1, slots=1)
-    first = books.ask(ask(), 0.0)
+    books = make_placer(count=1, slots=1)
+    first = books.ask(request(), 0.0)
     assert isinstance(first, Placed)
-    slow = books.ask(ask(priority=3), 0.0)
-    urgent = books.ask(ask(priority=0), 0.0)
+    slow = books.ask(request(priority=3), 0.0)
+    urgent = books.ask(request(priority=0), 0.0)
     assert isinstance(slow, Waiting) and isinstance(urgent, Waiting)
-    late = books.ask(ask(priority=3), 0.0)
+    late = books.ask(request(priority=3), 0.0)
     assert isinstance(late, Refused) and late.reason == "full"
-    end(books, first, Ending.ANSWERED, WORK_MS)
+    end_attempt(books, first, Ending.ANSWERED, WORK_MS)
     assert isinstance(urgent.settled, Placed) and slow.settled is None
 
 
 def test_one_reset_ejects_a_target_for_everyone():
     """A target breaks the connections of nearly all its work for two seconds.
 
-    Each request sent there meanwhile is lost for its caller.
+    Each request sent there meanwhile is lost.
     """
-    books = placer()
-    first = books.ask(ask(), 0.0)
-    end(books, first, Ending.BROKEN, 5.0)
+    books = make_placer()
+    first = books.ask(request(), 0.0)
+    end_attempt(books, first, Ending.BROKEN, 5.0)
     (change,) = books.changes()
     assert change.standing is Standing.EJECTED
-    later = [books.ask(ask(100.0), 100.0) for _ in range(14)]
+    later = [books.ask(request(100.0), 100.0) for _ in range(14)]
     assert first.target.identity not in {place.target.identity for place in later}
 
 
-def test_a_plain_error_now_and_then_ejects_nobody():
-    books = placer()
+def test_occasional_errors_eject_no_target():
+    books = make_placer()
     for step in range(400):
         now_ms = step * 50.0
-        place = books.ask(ask(now_ms), now_ms)
-        ending = Ending.ERROR if step % 83 == 0 else Ending.ANSWERED
-        end(books, place, ending, now_ms + 40.0)
+        place = books.ask(request(now_ms), now_ms)
+        outcome = Ending.ERROR if step % 83 == 0 else Ending.ANSWERED
+        end_attempt(books, place, outcome, now_ms + 40.0)
     assert not books.changes()
 
 
-def test_a_return_is_tried_with_a_request_that_may_be_repeated():
-    """An ejected target may be sound again, or not.
+def test_an_ejected_target_is_tried_with_an_idempotent_request():
+    """An ejected target may be healthy again, or not.
 
-    A payment that meets it gray is lost; a page view is sent again elsewhere.
+    A payment that meets it gray is lost; a page view is retried elsewhere.
     """
-    books = placer()
-    broken = books.ask(ask(), 0.0)
-    end(books, broken, Ending.BROKEN, 5.0)
+    books = make_placer()
+    broken = books.ask(request(), 0.0)
+    end_attempt(books, broken, Ending.BROKEN, 5.0)
     out = broken.target.identity
     for _ in range(12):
-        unsafe = books.ask(ask(2_600.0), 2_600.0)
-        assert unsafe.target.identity != out
-    safe = books.ask(ask(2_600.0, idempotent=True), 2_600.0)
-    assert safe.target.identity == out
+        payment = books.ask(request(2_600.0), 2_600.0)
+        assert payment.target.identity != out
+    page = books.ask(request(2_600.0, idempotent=True), 2_600.0)
+    assert page.target.identity == out
 
 
 def test_a_trial_takes_more_with_each_answer():
-    """Most targets of a service come back at once, as after all hosts restarted.
+    """Most targets of a service return at once, as after all hosts restarted.
 
-    One request at a time each, it would take seconds until callers have room again.
+    With one request at a time each, callers would have no free slots for seconds.
     """
-    books = placer(count=1, slots=4)
-    broken = books.ask(ask(), 0.0)
-    end(books, broken, Ending.BROKEN, 5.0)
-    first = books.ask(ask(2_600.0, idempotent=True), 2_600.0)
+    books = make_placer(count=1, slots=4)
+    broken = books.ask(request(), 0.0)
+    end_attempt(books, broken, Ending.BROKEN, 5.0)
+    first = books.ask(request(2_600.0, idempotent=True), 2_600.0)
     assert isinstance(first, Placed)
-    assert isinstance(books.ask(ask(2_600.0), 2_600.0), Refused)
-    end(books, first, Ending.ANSWERED, 2_800.0)
-    more = [books.ask(ask(2_800.0, idempotent=True), 2_800.0) for _ in range(3)]
+    assert isinstance(books.ask(request(2_600.0), 2_600.0), Refused)
+    end_attempt(books, first, Ending.ANSWERED, 2_800.0)
+    more = [books.ask(request(2_800.0, idempotent=True), 2_800.0) for _ in range(3)]
     assert [isinstance(place, Placed) for place in more] == [True, True, False]
 
 
-def test_a_relapse_ejects_for_longer():
-    books = placer(count=1)
+def test_a_relapse_is_ejected_for_longer():
+    books = make_placer(count=1)
     for out_ms, now_ms in ((2_500.0, 0.0), (5_000.0, 2_600.0), (10_000.0, 7_700.0)):
-        place = books.ask(ask(now_ms, idempotent=True), now_ms)
-        end(books, place, Ending.BROKEN, now_ms)
-        gauge = books.gauges()[place.target.identity]
-        assert gauge.ejected_until_ms == now_ms + out_ms
+        place = books.ask(request(now_ms, idempotent=True), now_ms)
+        end_attempt(books, place, Ending.BROKEN, now_ms)
+        tracker = books.trackers()[place.target.identity]
+        assert tracker.ejected_until_ms == now_ms + out_ms
 
 
-def test_one_sender_that_reaches_nothing_blames_its_path():
-    """The way from one entry to a target is cut; all others reach it.
+def test_one_sender_that_reaches_nothing_is_attributed_to_its_path():
+    """One entry's path to a target is cut; all others reach it.
 
-    Ejecting it for all would take a sound target out.
+    To eject it for all entries would take a healthy target out of use.
     """
-    books = placer()
-    place = books.ask(ask(), 0.0)
-    end(books, place, Ending.UNREACHED, 300.0)
+    books = make_placer()
+    place = books.ask(request(), 0.0)
+    end_attempt(books, place, Ending.UNREACHED, 300.0)
     assert not books.changes()
-    own = [books.ask(ask(400.0), 400.0) for _ in range(14)]
+    own = [books.ask(request(400.0), 400.0) for _ in range(14)]
     assert place.target.identity not in {p.target.identity for p in own}
-    other = books.ask(ask(400.0, sender=HostId("other")), 400.0)
+    other = books.ask(request(400.0, sender=HostId("other")), 400.0)
     assert other.target.identity == place.target.identity
 
 
-def test_two_senders_that_reach_nothing_blame_the_target():
-    books = placer()
-    place = books.ask(ask(), 0.0)
-    end(books, place, Ending.UNREACHED, 300.0)
+def test_two_senders_that_reach_nothing_are_attributed_to_the_target():
+    books = make_placer()
+    place = books.ask(request(), 0.0)
+    end_attempt(books, place, Ending.UNREACHED, 300.0)
     again = place
     while again.target.identity != place.target.identity or again is place:
-        again = books.ask(ask(400.0, sender=HostId("other")), 400.0)
-    end(books, again, Ending.UNREACHED, 700.0, sender=HostId("other"))
+        again = books.ask(request(400.0, sender=HostId("other")), 400.0)
+    end_attempt(books, again, Ending.UNREACHED, 700.0, sender=HostId("other"))
     assert [change.standing for change in books.changes()] == [Standing.EJECTED]
 
 
-def learnt(count: int = 8) -> ServicePlacer:
-    books = placer(count)
+def placer_with_samples(count: int = 8) -> ServicePlacer:
+    books = make_placer(count)
     draw = random.Random(3)
     for step in range(200):
-        place = books.ask(ask(), 0.0)
+        place = books.ask(request(), 0.0)
         latency_ms = draw.lognormvariate(5.2, 0.4)
-        end(books, place, Ending.ANSWERED, step * 1.0, latency_ms=latency_ms)
+        end_attempt(books, place, Ending.ANSWERED, step * 1.0, latency_ms=latency_ms)
     return books
 
 
 def test_a_target_with_overdue_work_gets_no_more_while_others_can_take_it():
-    """A target takes requests and never answers them."""
-    books = learnt()
-    late = books.ask(ask(1_000.0), 1_000.0)
+    """A target accepts requests and never answers them."""
+    books = placer_with_samples()
+    late = books.ask(request(1_000.0), 1_000.0)
     for step in range(60):
         now_ms = 1_700.0 + step * 10
-        place = books.ask(ask(now_ms), now_ms)
+        place = books.ask(request(now_ms), now_ms)
         assert place.target.identity != late.target.identity
-        end(books, place, Ending.ANSWERED, now_ms + 5.0)
+        end_attempt(books, place, Ending.ANSWERED, now_ms + 5.0)
 
 
-def test_a_hung_target_is_ejected_before_its_callers_time_is_over():
+def test_a_hung_target_is_ejected_before_its_callers_deadlines():
     """A target hangs with both slots taken.
 
-    Without a word from it, its callers would find out at their deadlines, and the
-    next two would take their places.
+    Without a response, its callers would find out at their deadlines, and the next two
+    would take their slots.
     """
-    books = learnt(count=1)
+    books = placer_with_samples(count=1)
     for _ in range(2):
-        books.ask(ask(1_000.0), 1_000.0)
+        books.ask(request(1_000.0), 1_000.0)
     books.settle(1_300.0)
     assert not books.changes()
     books.settle(1_900.0)
@@ -216,213 +220,215 @@
 def test_many_gray_windows_in_a_row_keep_the_floor():
     """Half of the targets failed a moment ago, and the others' slots are all taken.
 
-    Some of the five may be sound again, and callers would be refused meanwhile.
+    Some of the five may be healthy again, and callers would be refused meanwhile.
     """
-    books = placer(count=10)
+    books = make_placer(count=10)
     for n in range(5):
-        place = books.ask(ask(), 0.0)
-        end(books, place, Ending.BROKEN, n * 10.0)
+        place = books.ask(request(), 0.0)
+        end_attempt(books, place, Ending.BROKEN, n * 10.0)
     books.settle(2_200.0)
-    standings = [gauge.standing for gauge in books.gauges().values()]
-    assert standings.count(Standing.EJECTED) == 5
+    states = [tracker.ejection_state for tracker in books.trackers().values()]
+    assert states.count(Standing.EJECTED) == 5
     for _ in range(8):
-        books.ask(ask(2_200.0), 2_200.0)
+        books.ask(request(2_200.0), 2_200.0)
     books.settle(2_200.0)
-    standings = [gauge.standing for gauge in books.gauges().values()]
-    assert standings.count(Standing.EJECTED) == 3
+    states = [tracker.ejection_state for tracker in books.trackers().values()]
+    assert states.count(Standing.EJECTED) == 3
 
 
-def test_repeats_stop_at_the_budget():
-    """All targets refuse half of their work, and every refusal asks for a repeat."""
-    books = placer(count=15)
+def test_retries_stop_at_the_budget():
+    """All targets shed half of their work, and every refusal causes a retry."""
+    books = make_placer(count=15)
     refused = 0
     for step in range(1_000):
         now_ms = step * 9.0
-        place = books.ask(ask(now_ms), now_ms)
+        place = books.ask(request(now_ms), now_ms)
         if isinstance(place, Placed):
-            end(books, place, Ending.ABANDONED, now_ms)
-        again = books.ask(ask(now_ms, repeat=True), now_ms)
+            end_attempt(books, place, Ending.ABANDONED, now_ms)
+        again = books.ask(request(now_ms, repeat=True), now_ms)
         if isinstance(again, Placed):
-            end(books, again, Ending.ABANDONED, now_ms)
+            end_attempt(books, again, Ending.ABANDONED, now_ms)
         refused += isinstance(again, Refused)
     assert 1_000 - refused <= 0.2 * 1_000 + 58
 
 
-def test_a_dead_senders_slot_comes_free_at_its_deadline():
-    """An entry is killed with requests on their way, and never tells their end."""
-    books = placer(count=1, slots=1)
-    books.ask(ask(), 0.0)
-    assert isinstance(books.ask(ask(2_001.0), 2_001.0), Placed)
+def test_the_slot_of_a_killed_sender_is_freed_at_the_deadline():
+    """An entry is killed with requests running, and never reports their outcomes."""
+    books = make_placer(count=1, slots=1)
+    books.ask(request(), 0.0)
+    assert isinstance(books.ask(request(2_001.0), 2_001.0), Placed)
 
 
 def test_gray_windows_cost_few_requests():
     """A third of the targets break all their work for two seconds of each nine.
 
-    Compared are requests lost with pooled evidence, which is this placer, and with
-    none: each loss is a payment that failed or a page that had to be asked again.
+    Compares the requests lost with pooled evidence, as in this placer, and without
+    evidence. Each loss is a payment that failed or a page that had to be requested
+    again.
     """
     lost = {True: 0, False: 0}
     for pooled in lost:
         draw = random.Random(7)
-        books = placer(count=15)
+        books = make_placer(count=15)
         phase = {f"t{n}": draw.uniform(0, 9_000) for n in range(5)}
         for step in range(3_000):
             now_ms = step * 33.0
-            place = books.ask(ask(now_ms), now_ms)
+            place = books.ask(request(now_ms), now_ms)
             name = place.target.identity
             gray = name in phase and (now_ms + phase[name]) % 9_000 < 2_000
             lost[pooled] += gray
-            ending = Ending.BROKEN if gray and pooled else Ending.ANSWERED
-            end(books, place, ending, now_ms + 1.0)
+            outcome = Ending.BROKEN if gray and pooled else Ending.ANSWERED
+            end_attempt(books, place, outcome, now_ms + 1.0)
     assert lost[False] > 150
     assert lost[True] * 3 < lost[False]
 
 
-def test_work_that_was_given_up_speaks_against_its_target():
-    """A target hangs, and every look-up sent there is soon answered by another target.
+def test_abandoned_work_counts_against_its_target():
+    """A target hangs, and every look-up sent there is hedged and answered elsewhere.
 
-    Nobody waits for the first sending any more. Forgotten with it, the next
-    confirmation is sent to the same target and is lost.
+    Nobody waits for the first attempt any more. If it were ignored, the next
+    confirmation would be sent to the same target and lost.
     """
-    books = learnt(count=2)
-    hung = books.ask(ask(1_000.0, idempotent=True), 1_000.0)
-    end(books, hung, Ending.ABANDONED, 1_700.0, latency_ms=700.0)
+    books = placer_with_samples(count=2)
+    hung = books.ask(request(1_000.0, idempotent=True), 1_000.0)
+    end_attempt(books, hung, Ending.ABANDONED, 1_700.0, latency_ms=700.0)
     for step in range(4):
         now_ms = 1_800.0 + step * 10
-        place = books.ask(ask(now_ms), now_ms)
+        place = books.ask(request(now_ms), now_ms)
         assert place.target.identity != hung.target.identity
-        end(books, place, Ending.ANSWERED, now_ms + 5.0, latency_ms=150.0)
+        end_attempt(books, place, Ending.ANSWERED, now_ms + 5.0, latency_ms=150.0)
 
 
-def test_a_caller_that_leaves_early_says_nothing_of_its_target():
-    """Callers give up after a moment, as some always do.
+def test_a_caller_that_leaves_early_does_not_count_against_its_target():
+    """Some callers always give up after a moment.
 
-    Counted as hangs they would take sound targets out.
+    Counted as hangs, their requests would eject healthy targets.
     """
-    books = learnt()
+    books = placer_with_samples()
     for step in range(50):
         now_ms = 1_000.0 + step * 100
-        place = books.ask(ask(now_ms), now_ms)
-        end(books, place, Ending.ABANDONED, now_ms + 90.0, latency_ms=90.0)
+        place = books.ask(request(now_ms), now_ms)
+        end_attempt(books, place, Ending.ABANDONED, now_ms + 90.0, latency_ms=90.0)
     assert not books.changes()
 
 
-def test_a_failure_a_while_ago_is_tried_by_what_may_be_repeated():
-    """A target relapsed and is out for ten seconds, though it was gray for three.
+def test_a_target_is_tried_by_an_idempotent_request_some_time_after_its_failure():
+    """A relapsed target is ejected for ten seconds, though it was gray for three.
 
-    A request that may be repeated finds out for the price of a second sending, and
-    callers in trouble are owed the sound targets.
+    An idempotent request finds out at the price of a second attempt, and callers need
+    the healthy targets while requests fail.
     """
-    books = placer()
-    broken = books.ask(ask(), 0.0)
-    end(books, broken, Ending.BROKEN, 0.0)
-    gauge = books.gauges()[broken.target.identity]
-    gauge.ejected_until_ms = 10_000.0
-    unsafe = [books.ask(ask(2_100.0), 2_100.0) for _ in range(14)]
-    assert broken.target.identity not in {p.target.identity for p in unsafe}
-    safe = books.ask(ask(2_100.0, idempotent=True), 2_100.0)
-    assert safe.target.identity == broken.target.identity
-
-
-def test_while_callers_go_unserved_no_sound_target_is_left_without_work():
+    books = make_placer()
+    broken = books.ask(request(), 0.0)
+    end_attempt(books, broken, Ending.BROKEN, 0.0)
+    tracker = books.trackers()[broken.target.identity]
+    tracker.ejected_until_ms = 10_000.0
+    payment = [books.ask(request(2_100.0), 2_100.0) for _ in range(14)]
+    assert broken.target.identity not in {p.target.identity for p in payment}
+    page = books.ask(request(2_100.0, idempotent=True), 2_100.0)
+    assert page.target.identity == broken.target.identity
+
+
+def test_while_requests_go_unserved_no_healthy_target_is_left_without_work():
     """Many requests hang, and the targets in the other domain have had nothing lately.
 
-    The near ones have free slots, so nothing else would send work to the far ones.
+    Those in the local domain have free slots, so nothing else would send work to the
+    others.
     """
-    books = learnt(count=8)
+    books = placer_with_samples(count=8)
     for step in range(6):
-        place = books.ask(ask(1_000.0), 1_000.0)
-        end(books, place, Ending.ERROR, 1_001.0 + step)
+        place = books.ask(request(1_000.0), 1_000.0)
+        end_attempt(books, place, Ending.ERROR, 1_001.0 + step)
     used = set()
     for step in range(20):
         now_ms = 2_500.0 + step * 20
-        place = books.ask(ask(now_ms, idempotent=True), now_ms)
+        place = books.ask(request(now_ms, idempotent=True), now_ms)
         used.add(place.target.identity)
-        end(books, place, Ending.ANSWERED, now_ms + 10.0, latency_ms=150.0)
+        end_attempt(books, place, Ending.ANSWERED, now_ms + 10.0, latency_ms=150.0)
     assert len(used) >= 6
 
 
-def test_mere_suspicion_takes_out_no_more_than_the_floor_allows():
-    """Every target fails now and then at the same moment, for a reason behind them.
+def test_suspicion_ejects_no_more_than_the_floor_allows():
+    """Every target fails now and then at the same moment, for a shared reason.
 
-    Each failure is a reason to doubt one of them. Ejected together they would leave
-    no room for the work that most of them would have done.
+    Each failure is evidence against one of them. Ejected together they would leave no
+    room for the work that most of them would have done.
     """
-    books = placer(count=10)
+    books = make_placer(count=10)
     for step in range(100):
-        place = books.ask(ask(step * 10.0), step * 10.0)
+        place = books.ask(request(step * 10.0), step * 10.0)
         if isinstance(place, Placed):
-            end(books, place, Ending.ERROR, step * 10.0 + 5.0)
-    standings = [gauge.standing for gauge in books.gauges().values()]
-    assert standings.count(Standing.EJECTED) <= 3
+            end_attempt(books, place, Ending.ERROR, step * 10.0 + 5.0)
+    states = [tracker.ejection_state for tracker in books.trackers().values()]
+    assert states.count(Standing.EJECTED) <= 3
 
 
-def test_a_second_sending_without_room_costs_no_repeat():
+def test_a_hedge_without_a_free_slot_costs_no_retry():
     """A target hangs, and all others of its service are excluded or taken.
 
-    Its request asks for a second sending again and again. Counted each time, the
-    service would be out of repeats when there is room.
+    Its request asks for a hedge again and again. If each one were counted, the service
+    would have no retries left when there is a free slot.
     """
     books = ServicePlacer(0.7, RepeatBudget(0.0, 10.0, 10_000.0))
-    books.set_targets(listed(2), 0.0)
-    books.ask(ask(idempotent=True), 0.0)
+    books.set_targets(listed_targets(2), 0.0)
+    books.ask(request(idempotent=True), 0.0)
     fields = {"idempotent": True, "repeat": True, "hedge": True}
-    everyone = frozenset(books.gauges())
+    everyone = frozenset(books.trackers())
     for step in range(50):
         now_ms = 300.0 + step
-        again = books.ask(ask(now_ms, excluded=everyone, **fields), now_ms)
+        again = books.ask(request(now_ms, excluded=everyone, **fields), now_ms)
         assert isinstance(again, Refused) and again.reason == "full"
-    assert isinstance(books.ask(ask(400.0, **fields), 400.0), Placed)
+    assert isinstance(books.ask(request(400.0, **fields), 400.0), Placed)
 
 
 def test_work_that_ran_at_an_ejection_is_no_relapse():
-    """A target with all slots taken dies, and every request on it breaks.
+    """A target with all slots taken crashes, and every request on it breaks.
 
-    Counted as one relapse after the other, its next ejection would last ten seconds
-    though it was gray for two.
+    If each counted as a relapse, its next ejection would last ten seconds though it was
+    gray for two.
     """
-    books = placer(count=1, slots=6)
-    running = [books.ask(ask(), 0.0) for _ in range(6)]
+    books = make_placer(count=1, slots=6)
+    running = [books.ask(request(), 0.0) for _ in range(6)]
     for place in running:
-        end(books, place, Ending.BROKEN, 10.0)
-    gauge = books.gauges()[running[0].target.identity]
-    assert gauge.ejection_ms == gauge.ejected_until_ms - 10.0 == 2_500.0
+        end_attempt(books, place, Ending.BROKEN, 10.0)
+    tracker = books.trackers()[running[0].target.identity]
+    assert tracker.ejection_ms == tracker.ejected_until_ms - 10.0 == 2_500.0
 
 
-def test_who_has_tried_all_targets_hears_so_at_once():
-    """A service has one target, and a page that failed there asks for another one.
+def test_a_request_that_tried_all_targets_is_refused_at_once():
+    """A service has one target, and a page that failed there requests another one.
 
-    Kept waiting for a slot that it may not take, its caller would hear of the failure
+    Queued for a slot that it may not take, its caller would learn of the failure
     seconds later.
     """
-    books = placer(count=1, slots=1)
-    first = books.ask(ask(idempotent=True), 0.0)
-    again = ask(idempotent=True, repeat=True, excluded=frozenset(books.gauges()))
+    books = make_placer(count=1, slots=1)
+    first = books.ask(request(idempotent=True), 0.0)
+    again = request(idempotent=True, repeat=True, excluded=frozenset(books.trackers()))
     refused = books.ask(again, 10.0)
     assert isinstance(first, Placed)
     assert isinstance(refused, Refused) and refused.reason == "no-target"
 
 
-def test_looking_after_those_who_wait_is_cheap_while_nothing_is_free():
-    """A hundred callers wait at a service whose slots are all taken.
+def test_serving_the_queue_is_cheap_while_no_slot_is_free():
+    """A hundred requests are queued at a service whose slots are all taken.
 
-    Each end of work looks after them. A look at every target for each of them would
-    take the placer's processor when it is needed most.
+    The queue is served at each end of an attempt. Checking every target for each
+    request would take the placer's processor when it is needed most.
     """
-    books = learnt(count=20)
-    while isinstance(books.ask(ask(1_000.0), 1_000.0), Placed):
+    books = placer_with_samples(count=20)
+    while isinstance(books.ask(request(1_000.0), 1_000.0), Placed):
         pass
-    looks = 0
+    checks = 0
 
     def counted(*_):
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         return True
 
-    for gauge in books.gauges().values():
-        gauge.full_until_ms = 5_000.0
+    for tracker in books.trackers().values():
+        tracker.full_until_ms = 5_000.0
     for _ in range(100):
-        books.ask(ask(1_000.0, deadline_ms=60_000.0), 1_000.0)
+        books.ask(request(1_000.0, deadline_ms=60_000.0), 1_000.0)
     books._reachable = counted
     books.settle(1_010.0)
-    assert looks == 0
+    assert checks == 0
