--- a/benchmarks/false_alarms.py
+++ b/benchmarks/false_alarms.py
@@ -76,10 +76,10 @@
 ) -> FalseAlarms:
     """Return the false alarms in about this many samples of healthy targets."""
     rng = np.random.default_rng(seed)
-    healthy_rate = max(error_rate, settings.least_failure_rate)
+    healthy_rate = max(error_rate, settings.min_failure_rate)
     tests = [
         FailureTest.between(healthy_rate, lost)
-        for lost in (settings.mild_failure, settings.hard_failure)
+        for lost in (settings.mild_loss_fraction, settings.hard_loss_fraction)
     ]
     failures = [Excursions() for _ in tests]
     slow = Excursions()
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -87,8 +87,8 @@
     """Return the default settings at a fixed threshold."""
     return replace(
         HealthSettings(),
-        least_threshold_nats=threshold_nats,
-        most_threshold_nats=threshold_nats,
+        min_threshold_nats=threshold_nats,
+        max_threshold_nats=threshold_nats,
     )
 
 
@@ -188,7 +188,7 @@
     ways = {
         "none": settings_at(1e9),
         "half": HealthSettings(),
-        "whole": replace(HealthSettings(), homes_at_once=1),
+        "whole": replace(HealthSettings(), coordinators_at_once=1),
     }
     prices: dict[str, dict[str, float]] = {}
     for name, config in ways.items():
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -27,13 +27,13 @@
     make_targets,
     quantile,
 )
-from crocusspindle.core.home import (
+from crocusspindle.core.group_coordinator import (
     Arrival,
     AttemptEnd,
+    CoordinatorSettings,
     Decision,
-    Fitness,
-    Home,
-    HomeSettings,
+    GroupCoordinator,
+    TargetWeights,
 )
 from crocusspindle.ids import AttemptId, CustomerId
 
@@ -53,7 +53,7 @@
 LARGEST: Final = CustomerId("customer-0")
 
 
-_SETTINGS: Final = HomeSettings()
+_SETTINGS: Final = CoordinatorSettings()
 
 
 def exponential_work(generator: random.Random) -> float:
@@ -81,10 +81,10 @@
 
 
 def make_driver(
-    settings: HomeSettings = _SETTINGS,
+    settings: CoordinatorSettings = _SETTINGS,
     entry_hop_ms: float = _HOP_MS,
     target_hop_ms: float = 0.0,
-    kind: type[Home] = Home,
+    kind: type[GroupCoordinator] = GroupCoordinator,
 ) -> tuple[EventLoop, HomeDriver, list[VirtualTarget]]:
     """Return a home over healthy targets."""
     loop = EventLoop()
@@ -98,7 +98,7 @@
     demand: list[Demand],
     seconds: float,
     fair: bool = True,
-    settings: HomeSettings = _SETTINGS,
+    settings: CoordinatorSettings = _SETTINGS,
 ) -> list[Job]:
     """Serve a demand by a home; without ``fair`` all customers share one line."""
     jobs = make_jobs(demand, seconds * 1_000.0, exponential_work, random.Random(SEED))
@@ -186,7 +186,10 @@
 
 
 def place_by_home(
-    load: float, seconds: float, settings: HomeSettings, target_hop_ms: float = 0.0
+    load: float,
+    seconds: float,
+    settings: CoordinatorSettings,
+    target_hop_ms: float = 0.0,
 ) -> dict[str, float]:
     """Measure waiting with a home; the hop to it is counted both ways."""
     jobs = slot_jobs(load, seconds)
@@ -222,12 +225,14 @@
     for load in loads:
         percent = round(load * 100)
         best = place_at_best(load, seconds)
-        no_hedges = HomeSettings(hedge_fraction=0.0)
+        no_hedges = CoordinatorSettings(hedge_fraction=0.0)
         ways = {
             "optimum": best,
-            "home": place_by_home(load, seconds, HomeSettings()),
+            "home": place_by_home(load, seconds, CoordinatorSettings()),
             "home_no_hedges": place_by_home(load, seconds, no_hedges),
-            "home_far_targets": place_by_home(load, seconds, HomeSettings(), 0.75),
+            "home_far_targets": place_by_home(
+                load, seconds, CoordinatorSettings(), 0.75
+            ),
             "entries_queue": place_by_entries(load, seconds, queues=True),
             "entries_shed": place_by_entries(load, seconds, queues=False),
         }
@@ -243,8 +248,8 @@
 def measure_faults(seconds: float) -> Figures:
     """Measure one bad target and total failure with retries and hedges on and off."""
     figures: Figures = {}
-    plain = HomeSettings(retry_fraction=0.0, hedge_fraction=0.0, max_attempts=1)
-    for way, settings in (("off", plain), ("on", HomeSettings())):
+    plain = CoordinatorSettings(retry_fraction=0.0, hedge_fraction=0.0, max_attempts=1)
+    for way, settings in (("off", plain), ("on", CoordinatorSettings())):
         for fault in ("slow", "mute", "failing", "all_failing"):
             jobs = make_jobs(
                 demands(), seconds * 1_000.0, exponential_work, random.Random(SEED)
@@ -265,13 +270,16 @@
     return figures
 
 
-class RecordingHome(Home):
+class RecordingHome(GroupCoordinator):
     """Keep the events of a run, so that they can be fed to another home."""
 
     def __init__(
-        self, settings: HomeSettings, health: Fitness, generator: random.Random
+        self,
+        settings: CoordinatorSettings,
+        health: TargetWeights,
+        generator: random.Random,
     ) -> None:
-        self.events: list[Callable[[Home], object]] = []
+        self.events: list[Callable[[GroupCoordinator], object]] = []
         super().__init__(settings, health, generator)
 
     def arrive(self, arrival: Arrival, now_ms: float) -> list[Decision]:
@@ -303,7 +311,9 @@
         recorded = cast(RecordingHome, driver.home)
         driver.submit(jobs)
         loop.run()
-        home = Home.from_config(HomeSettings(), ConstantFitness(), random.Random(0))
+        home = GroupCoordinator.from_config(
+            CoordinatorSettings(), ConstantFitness(), random.Random(0)
+        )
         home.set_targets([target.target for target in targets], 0.0)
         began_s = time.process_time()
         for event in recorded.events:
--- a/benchmarks/queueing_ways.py
+++ b/benchmarks/queueing_ways.py
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 
 from benchmarks.virtual import EventLoop, Job, Verdict, VirtualTarget
-from crocusspindle.core.home import AttemptEnd
+from crocusspindle.core.group_coordinator import AttemptEnd
 
 _SHED_RETRY_MS = 10.0
 
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -14,7 +14,7 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from crocusspindle.core.home import (
+from crocusspindle.core.group_coordinator import (
     Arrival,
     AttemptEnd,
     Cancel,
@@ -22,7 +22,7 @@
     Dispatch,
     Fail,
     Finish,
-    Home,
+    GroupCoordinator,
     Outcome,
 )
 from crocusspindle.core.model import Target
@@ -188,7 +188,7 @@
     def __init__(
         self,
         loop: EventLoop,
-        home: Home,
+        home: GroupCoordinator,
         targets: Iterable[VirtualTarget],
         entry_hop_ms: float = 0.0,
         target_hop_ms: float = 0.0,
--- a/src/crocusspindle/core/admission.py
+++ b/src/crocusspindle/core/admission.py
@@ -8,9 +8,9 @@
 from crocusspindle.core.attempts import Attempts
 from crocusspindle.core.decisions import Arrival, RefusalReason, Refuse
 from crocusspindle.core.fair_queue import FairQueue
-from crocusspindle.core.refusal import RetryTimes
 from crocusspindle.core.requests import PendingRequest
-from crocusspindle.core.roster import Roster
+from crocusspindle.core.retry_times import RetryTimes
+from crocusspindle.core.target_pool import TargetPool
 from crocusspindle.ids import RequestId
 
 NO_TARGET_RETRY_MS: Final = 1_000.0
@@ -24,7 +24,7 @@
         self,
         max_queued: int,
         queue: FairQueue,
-        target_pool: Roster,
+        target_pool: TargetPool,
         attempts: Attempts,
         generator: random.Random,
     ) -> None:
--- a/src/crocusspindle/core/attempts.py
+++ b/src/crocusspindle/core/attempts.py
@@ -3,12 +3,12 @@
 from itertools import count
 from typing import Final
 
+from crocusspindle.core.coordinator_settings import CoordinatorSettings
 from crocusspindle.core.decisions import AttemptEnd, Cancel, Decision, Dispatch
-from crocusspindle.core.home_settings import HomeSettings
-from crocusspindle.core.latencies import LatencyWindow
+from crocusspindle.core.latency_window import LatencyWindow
 from crocusspindle.core.requests import Attempt, PendingRequest
-from crocusspindle.core.roster import Roster
 from crocusspindle.core.slots import TargetSlots
+from crocusspindle.core.target_pool import TargetPool
 from crocusspindle.core.timers import TimerKind, Timers
 from crocusspindle.ids import AttemptId
 
@@ -30,7 +30,7 @@
     """Open, cancel and close attempts."""
 
     def __init__(
-        self, settings: HomeSettings, target_pool: Roster, timers: Timers
+        self, settings: CoordinatorSettings, target_pool: TargetPool, timers: Timers
     ) -> None:
         self._settings = settings
         self._target_pool = target_pool
--- a/src/crocusspindle/core/home_settings.py
+++ b/src/crocusspindle/core/coordinator_settings.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeSettings:
+class CoordinatorSettings:
     """Hold the limits of a group coordinator.
 
     ``max_queued`` bounds memory only: a queued request holds a stream of about
--- a/src/crocusspindle/core/ejection.py
+++ b/src/crocusspindle/core/ejection.py
@@ -36,11 +36,11 @@
         self,
         records: Mapping[TargetId, TargetRecord],
         floor_fraction: float,
-        homes_at_once: int,
+        coordinators_at_once: int,
     ) -> None:
         self._records = records
         self._floor_fraction = floor_fraction
-        self._homes_at_once = homes_at_once
+        self._homes_at_once = coordinators_at_once
 
     def live(self) -> list[TargetRecord]:
         """Return the targets that count as capacity."""
--- a/src/crocusspindle/core/evidence.py
+++ b/src/crocusspindle/core/evidence.py
@@ -11,7 +11,7 @@
     Outcome,
     Sample,
 )
-from crocusspindle.core.latency import BUCKETS, LatencyReference, bucket_of
+from crocusspindle.core.latency_reference import BUCKETS, LatencyReference, bucket_of
 
 FAILURES = frozenset({Outcome.ERROR, Outcome.TIMEOUT, Outcome.REFUSED})
 UNREACHED = frozenset({Outcome.TIMEOUT, Outcome.REFUSED})
@@ -111,7 +111,7 @@
     """Collect the evidence against one target from its real work."""
 
     def __init__(self, settings: HealthSettings, now_ms: float) -> None:
-        cap_nats = CAP_FACTOR * settings.most_threshold_nats
+        cap_nats = CAP_FACTOR * settings.max_threshold_nats
         self._cap_nats = cap_nats
         self._slow_gain = 1.0 - 1.0 / settings.slow_factor
         self._slow_cost_nats = log(settings.slow_factor)
@@ -119,7 +119,7 @@
         self.hard = Cusum(cap_nats)
         self.slow = Cusum(cap_nats)
         self.fresh_latencies = [0] * (BUCKETS + 1)
-        self.fresh_works = 0
+        self.fresh_attempts = 0
         self.fresh_failures = 0
         self._attempts = 0.0
         self._failures = 0.0
@@ -203,7 +203,7 @@
         self._decay(now_ms)
         failed = sample.outcome is not Outcome.OK
         self._attempts += 1.0
-        self.fresh_works += 1
+        self.fresh_attempts += 1
         if failed:
             self._failures += 1.0
             self._unreached += sample.outcome in UNREACHED
--- a/src/crocusspindle/core/home.py
+++ b/src/crocusspindle/core/group_coordinator.py
@@ -11,6 +11,7 @@
 
 from crocusspindle.core.admission import NO_TARGET_RETRY_MS, Admission
 from crocusspindle.core.attempts import Attempts
+from crocusspindle.core.coordinator_settings import CoordinatorSettings
 from crocusspindle.core.decisions import (
     Arrival,
     AttemptEnd,
@@ -28,12 +29,11 @@
 )
 from crocusspindle.core.fair_queue import FairQueue
 from crocusspindle.core.hedging import Hedging
-from crocusspindle.core.home_settings import HomeSettings
 from crocusspindle.core.model import Target
-from crocusspindle.core.placement import Fitness
+from crocusspindle.core.placement import TargetWeights
 from crocusspindle.core.requests import Attempt, PendingRequest
-from crocusspindle.core.retries import Budget
-from crocusspindle.core.roster import Roster
+from crocusspindle.core.retry_tokens import RetryTokens
+from crocusspindle.core.target_pool import TargetPool
 from crocusspindle.core.timers import TimerKind, Timers
 from crocusspindle.ids import AttemptId, CustomerId, RequestId
 
@@ -41,35 +41,40 @@
     "Arrival",
     "AttemptEnd",
     "Cancel",
+    "CoordinatorSettings",
     "Decision",
     "Dispatch",
     "Fail",
     "Finish",
-    "Fitness",
-    "Home",
+    "GroupCoordinator",
     "HomeLoad",
-    "HomeSettings",
     "HomeStatus",
     "Outcome",
     "RefusalReason",
     "Refuse",
     "TargetStatus",
+    "TargetWeights",
 ]
 
 
-class Home:
+class GroupCoordinator:
     """Queue the requests of one group of targets and decide when and where they run."""
 
     def __init__(
-        self, settings: HomeSettings, weights: Fitness, generator: random.Random
+        self,
+        settings: CoordinatorSettings,
+        weights: TargetWeights,
+        generator: random.Random,
     ) -> None:
         self._settings = settings
-        self._target_pool = Roster(weights, settings.domain)
+        self._target_pool = TargetPool(weights, settings.domain)
         self._requests: dict[RequestId, PendingRequest] = {}
         self._queue = FairQueue()
         self._retries: deque[RequestId] = deque()
         self._timers = Timers(self._is_live)
-        self._retry_tokens = Budget(settings.retry_fraction, settings.retry_floor_per_s)
+        self._retry_tokens = RetryTokens(
+            settings.retry_fraction, settings.retry_floor_per_s
+        )
         self._attempts = Attempts(settings, self._target_pool, self._timers)
         self._hedging = Hedging(settings, self._target_pool, self._attempts)
         self._admission = Admission(
@@ -83,8 +88,11 @@
 
     @classmethod
     def from_config(
-        cls, settings: HomeSettings, weights: Fitness, generator: random.Random
-    ) -> "Home":
+        cls,
+        settings: CoordinatorSettings,
+        weights: TargetWeights,
+        generator: random.Random,
+    ) -> "GroupCoordinator":
         """Return a coordinator without targets."""
         return cls(settings, weights, generator)
 
--- a/src/crocusspindle/core/health.py
+++ b/src/crocusspindle/core/health.py
@@ -43,7 +43,7 @@
         self._settings = settings
         self._records: dict[TargetId, TargetRecord] = {}
         self._budget = EjectionBudget(
-            self._records, floor_fraction, settings.homes_at_once
+            self._records, floor_fraction, settings.coordinators_at_once
         )
         self._group_reference = GroupReference(settings)
         self._peers = PeerComparison(settings, self._budget, self._group_reference)
--- a/src/crocusspindle/core/health_state.py
+++ b/src/crocusspindle/core/health_state.py
@@ -137,25 +137,25 @@
     false_ejections_per_day: float = 0.25
     # Bounds of the threshold derived from that. Below the minimum, five errors alone
     # would eject; the maximum suits 20,000 requests/s, more than one coordinator gets.
-    least_threshold_nats: float = 12.0
-    most_threshold_nats: float = 24.0
+    min_threshold_nats: float = 12.0
+    max_threshold_nats: float = 24.0
     # Fraction of the threshold by which a target must differ from its peers in the same
     # time to rule out a shared cause. Below 1, as it tests the same samples again; at
     # 0.5, bursts of shared errors occasionally eject a target.
     contrast_fraction: float = 0.7
     # Fractions of work lost by a bad target, tested in parallel: 10 % is the minimum
     # worth an ejection, 35 % detects higher losses quickly.
-    mild_failure: float = 0.1
-    hard_failure: float = 0.35
+    mild_loss_fraction: float = 0.1
+    hard_loss_fraction: float = 0.35
     # Below 1 % a single stray error would contribute too much to the threshold.
-    least_failure_rate: float = 0.01
+    min_failure_rate: float = 0.01
     # The alternative hypothesis is three times as slow: it detects five times as slow
     # as quickly as the alternative of five does.
     slow_factor: float = 3.0
     # A smaller difference to the peers is harmless: in a fast service, a healthy target
     # in another failure domain is twice as slow as its peers.
-    least_slow_ratio: float = 2.0
-    least_slow_excess_ms: float = 20.0
+    min_slow_ratio: float = 2.0
+    min_slow_excess_ms: float = 20.0
     # Another failure domain fails to reach one healthy target in 1,000: e^7. The
     # opinion is requested as soon as it can be decisive.
     opinion_nats: float = 7.0
@@ -167,7 +167,7 @@
     # Short, since a false ejection costs capacity and a return costs only a few trials.
     ejection_ms: float = 5_000.0
     # Doubled by each relapse up to this, so that a flapping target is mostly ejected.
-    longest_ejection_ms: float = 300_000.0
+    max_ejection_ms: float = 300_000.0
     # A target that stays healthy for this long has its relapse count halved.
     relapse_half_life_ms: float = 600_000.0
     # Trials are real requests of callers; ten a second affect few callers.
@@ -177,7 +177,7 @@
     # Two failures, or one and slow answers; a single stray error is not enough.
     trial_fail_nats: float = 4.0
     # Also returns a target to service in a group with few idempotent requests.
-    longest_probation_ms: float = 15_000.0
+    max_probation_ms: float = 15_000.0
     # A cold target fills its caches and pools; 10 s at 28 requests/s are 280 requests.
     ramp_ms: float = 10_000.0
     cold_weight: float = 0.1
@@ -188,7 +188,7 @@
     # the probation weight, which allows trials only and so would amount to an ejection.
     withheld_weight: float = 0.1
     # Coordinators that may evaluate one group at once without contact to each other.
-    homes_at_once: int = 2
+    coordinators_at_once: int = 2
     # Time constant of the learnt failure rate and latencies of healthy work: long
     # compared with detection, short compared with changes of the callers' work.
     reference_ms: float = 20_000.0
--- a/src/crocusspindle/core/hedging.py
+++ b/src/crocusspindle/core/hedging.py
@@ -4,11 +4,11 @@
 from typing import Final
 
 from crocusspindle.core.attempts import Attempts
+from crocusspindle.core.coordinator_settings import CoordinatorSettings
 from crocusspindle.core.decisions import Decision
-from crocusspindle.core.home_settings import HomeSettings
 from crocusspindle.core.requests import Attempt, PendingRequest
-from crocusspindle.core.retries import Budget
-from crocusspindle.core.roster import Roster
+from crocusspindle.core.retry_tokens import RetryTokens
+from crocusspindle.core.target_pool import TargetPool
 from crocusspindle.ids import AttemptId, RequestId
 
 _SWEEP_SIZE: Final = 64
@@ -23,9 +23,9 @@
     """Open hedges as tokens allow and preempt them for first attempts."""
 
     def __init__(
-        self, settings: HomeSettings, target_pool: Roster, attempts: Attempts
+        self, settings: CoordinatorSettings, target_pool: TargetPool, attempts: Attempts
     ) -> None:
-        self.tokens = Budget(settings.hedge_fraction, settings.hedge_floor_per_s)
+        self.tokens = RetryTokens(settings.hedge_fraction, settings.hedge_floor_per_s)
         self._max_attempts = settings.max_attempts
         self._target_pool = target_pool
         self._attempts = attempts
--- a/src/crocusspindle/core/peers.py
+++ b/src/crocusspindle/core/peers.py
@@ -140,7 +140,7 @@
 
     def _fails_more(self, own: TargetEvidence, now_ms: float) -> bool:
         contrast_nats = self._recent.failure_contrast(
-            own.failures, self._settings.least_failure_rate, now_ms
+            own.failures, self._settings.min_failure_rate, now_ms
         )
         return contrast_nats >= self._contrast_nats
 
@@ -150,8 +150,8 @@
         own_ms = own.latency_ms / own.samples
         peers_ms = self._latency_ms(record)
         min_slow_ms = max(
-            peers_ms * settings.least_slow_ratio,
-            peers_ms + settings.least_slow_excess_ms,
+            peers_ms * settings.min_slow_ratio,
+            peers_ms + settings.min_slow_excess_ms,
         )
         if own_ms < min_slow_ms:
             return False
--- a/src/crocusspindle/core/placement.py
+++ b/src/crocusspindle/core/placement.py
@@ -11,7 +11,7 @@
 It lies between the weight on probation, 0.05, and that of a cold target, 0.1."""
 
 
-class Fitness(Protocol):
+class TargetWeights(Protocol):
     """Provide the weight of each target and whether it needs a trial."""
 
     def weight(self, target: TargetId, now_ms: float) -> float:
--- a/src/crocusspindle/core/reference.py
+++ b/src/crocusspindle/core/reference.py
@@ -5,7 +5,7 @@
 
 from crocusspindle.core.evidence import FailureTest, Reference, TargetEvidence
 from crocusspindle.core.health_state import HealthSettings, HealthState
-from crocusspindle.core.latency import BUCKETS, LatencyReference
+from crocusspindle.core.latency_reference import BUCKETS, LatencyReference
 from crocusspindle.core.target_record import TargetRecord
 
 FALSE_ALARMS_FACTOR = 0.6
@@ -31,19 +31,19 @@
         self._failures = 0.0
         self._learned_at_ms: float | None = None
         self._latency = LatencyReference(
-            settings.most_threshold_nats / 2.0, settings.reference_ms
+            settings.max_threshold_nats / 2.0, settings.reference_ms
         )
         self.reference = self._build_reference()
 
     def _build_reference(self) -> Reference:
         settings = self._settings
         rate = self._failures / self._sample_count if self._sample_count else 0.0
-        rate = min(MAX_FAILURE_RATE, max(settings.least_failure_rate, rate))
+        rate = min(MAX_FAILURE_RATE, max(settings.min_failure_rate, rate))
         return Reference(
             threshold_nats=self._threshold_nats(),
             healthy_rate=rate,
-            mild=FailureTest.between(rate, settings.mild_failure),
-            hard=FailureTest.between(rate, settings.hard_failure),
+            mild=FailureTest.between(rate, settings.mild_loss_fraction),
+            hard=FailureTest.between(rate, settings.hard_loss_fraction),
             latency=self._latency,
         )
 
@@ -56,14 +56,14 @@
         """
         settings = self._settings
         if not self._sample_count:
-            return settings.most_threshold_nats
+            return settings.max_threshold_nats
         samples_per_day = self._sample_count / self._observed_ms * DAY_MS
         false_alarm_ratio = (
             FALSE_ALARMS_FACTOR * samples_per_day / settings.false_ejections_per_day
         )
         nats = log(max(false_alarm_ratio, 1.0))
-        bounded_nats = max(settings.least_threshold_nats, nats)
-        return min(settings.most_threshold_nats, bounded_nats)
+        bounded_nats = max(settings.min_threshold_nats, nats)
+        return min(settings.max_threshold_nats, bounded_nats)
 
     def refresh(self, records: Iterable[TargetRecord], now_ms: float) -> None:
         """Learn from the requests since the last refresh, if a refresh is due.
@@ -88,13 +88,13 @@
         self._learn(clean if 2 * len(clean) >= len(serving) else serving, elapsed_ms)
         for evidence in serving:
             evidence.fresh_latencies = [0] * (BUCKETS + 1)
-            evidence.fresh_works = 0
+            evidence.fresh_attempts = 0
             evidence.fresh_failures = 0
 
     def _learn(self, sources: list[TargetEvidence], elapsed_ms: float) -> None:
         decay = exp(-elapsed_ms / self._settings.reference_ms)
         self._sample_count = self._sample_count * decay + sum(
-            source.fresh_works for source in sources
+            source.fresh_attempts for source in sources
         )
         self._observed_ms = self._observed_ms * decay + elapsed_ms
         self._failures *= decay
--- a/src/crocusspindle/core/retries.py
+++ b/src/crocusspindle/core/retry_tokens.py
@@ -7,7 +7,7 @@
 one more. With a larger burst, a long quiet period would pay for a retry storm."""
 
 
-class Budget:
+class RetryTokens:
     """Allow extra attempts as a fraction of first attempts.
 
     When many requests fail at once, retries must not multiply the load of the
--- a/src/crocusspindle/core/roster.py
+++ b/src/crocusspindle/core/target_pool.py
@@ -4,12 +4,12 @@
 from typing import Final
 
 from crocusspindle.core.decisions import TargetStatus
-from crocusspindle.core.latencies import LatencyWindow
+from crocusspindle.core.latency_window import LatencyWindow
 from crocusspindle.core.model import Target
 from crocusspindle.core.placement import (
     PROBATION_WEIGHT,
     Candidate,
-    Fitness,
+    TargetWeights,
     choose,
     choose_trial,
 )
@@ -31,10 +31,10 @@
 work it could never show that it has recovered. The retry tokens cover the failures."""
 
 
-class Roster:
+class TargetPool:
     """Track which targets have free slots and how fast the group drains its queue."""
 
-    def __init__(self, weights: Fitness, domain: DomainId | None) -> None:
+    def __init__(self, weights: TargetWeights, domain: DomainId | None) -> None:
         self._weights = weights
         self._domain = domain
         self._targets: dict[TargetId, TargetSlots] = {}
--- a/src/crocusspindle/core/target_record.py
+++ b/src/crocusspindle/core/target_record.py
@@ -102,7 +102,7 @@
         age_ms = now_ms - self._relapsed_at_ms
         self._relapses *= 0.5 ** (age_ms / settings.relapse_half_life_ms)
         duration_ms = settings.ejection_ms * 2.0**self._relapses
-        self.until_ms = now_ms + min(duration_ms, settings.longest_ejection_ms)
+        self.until_ms = now_ms + min(duration_ms, settings.max_ejection_ms)
         self._relapses += 1.0
         self._relapsed_at_ms = now_ms
         self.mark_healthy(now_ms)
@@ -114,7 +114,7 @@
         self.state = HealthState.PROBATION
         self.evidence.clear(now_ms)
         self._valid_since_ms = now_ms
-        self.until_ms = now_ms + self._settings.longest_probation_ms
+        self.until_ms = now_ms + self._settings.max_probation_ms
         self.next_trial_ms = now_ms
         self._trial_error_nats = 0.0
         self._trial_slow_nats = 0.0
@@ -133,7 +133,7 @@
         return worst_nats >= settings.trial_fail_nats
 
     def _error_step_nats(self, failed: bool) -> float:
-        healthy_rate = self._settings.least_failure_rate
+        healthy_rate = self._settings.min_failure_rate
         if failed:
             return log(TRIAL_FAILURE_RATE / healthy_rate)
         return log((1.0 - TRIAL_FAILURE_RATE) / (1.0 - healthy_rate))
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -9,6 +9,7 @@
 from multidict import CIMultiDict
 
 from crocusspindle.clock import now_ms
+from crocusspindle.core.coordinator_settings import CoordinatorSettings
 from crocusspindle.core.decisions import (
     Arrival,
     AttemptEnd,
@@ -22,6 +23,7 @@
     Outcome,
     Refuse,
 )
+from crocusspindle.core.group_coordinator import GroupCoordinator
 from crocusspindle.core.health import GroupHealth
 from crocusspindle.core.health_state import (
     GroupSuspect,
@@ -31,8 +33,6 @@
     TargetHealth,
 )
 from crocusspindle.core.health_state import Outcome as HealthOutcome
-from crocusspindle.core.home import Home
-from crocusspindle.core.home_settings import HomeSettings
 from crocusspindle.core.model import Target
 from crocusspindle.core.placement import PROBATION_WEIGHT
 from crocusspindle.errors import PeerError
@@ -84,7 +84,7 @@
     def __init__(
         self,
         name: str,
-        settings: HomeSettings,
+        settings: CoordinatorSettings,
         health: GroupHealth,
         client: TargetClient,
         rights: Rights,
@@ -94,7 +94,7 @@
         meter: GroupMeter,
     ) -> None:
         self.name = name
-        self._home = Home.from_config(settings, health, generator)
+        self._home = GroupCoordinator.from_config(settings, health, generator)
         self._health = health
         self._client = client
         self._rights = rights
--- a/src/crocusspindle/services/home.py
+++ b/src/crocusspindle/services/home.py
@@ -11,6 +11,7 @@
 
 from crocusspindle import instruments
 from crocusspindle.clock import now_ms
+from crocusspindle.core.coordinator_settings import CoordinatorSettings
 from crocusspindle.core.decisions import HomeLoad, HomeStatus, Outcome
 from crocusspindle.core.health import GroupHealth
 from crocusspindle.core.health_state import (
@@ -22,7 +23,6 @@
     Restored,
     TargetHealth,
 )
-from crocusspindle.core.home_settings import HomeSettings
 from crocusspindle.core.model import Service as ServiceLimits
 from crocusspindle.core.model import Target
 from crocusspindle.errors import PeerError
@@ -192,7 +192,7 @@
             return runner
         service = self._control.directory.service(group[0]) or ServiceLimits(group[0])
         health = GroupHealth.from_config(HealthSettings(), service.floor_fraction)
-        settings = HomeSettings(
+        settings = CoordinatorSettings(
             domain=self._control.me.domain,
             retry_fraction=self._limits.retry_fraction,
             hedge_fraction=self._limits.hedge_fraction,
--- a/tests/core/home_fakes.py
+++ b/tests/core/coordinator_fakes.py
@@ -2,7 +2,11 @@
 
 import random
 
-from crocusspindle.core.home import Arrival, Home, HomeSettings
+from crocusspindle.core.group_coordinator import (
+    Arrival,
+    CoordinatorSettings,
+    GroupCoordinator,
+)
 from crocusspindle.core.model import Target, TargetState
 from crocusspindle.ids import CustomerId, DomainId, RequestId, ServiceId, TargetId
 
@@ -35,8 +39,10 @@
 
 
 def make_coordinator(number=2, slots=1, fake_weights=None, **settings):
-    coordinator = Home.from_config(
-        HomeSettings(**settings), fake_weights or FakeTargetWeights(), random.Random(1)
+    coordinator = GroupCoordinator.from_config(
+        CoordinatorSettings(**settings),
+        fake_weights or FakeTargetWeights(),
+        random.Random(1),
     )
     coordinator.set_targets(targets(number, slots), 0.0)
     return coordinator
--- a/tests/core/test_home.py
+++ b/tests/core/test_group_coordinator.py
@@ -1,6 +1,6 @@
 import pytest
 
-from crocusspindle.core.home import (
+from crocusspindle.core.group_coordinator import (
     AttemptEnd,
     Cancel,
     Dispatch,
@@ -11,7 +11,12 @@
     Refuse,
 )
 from crocusspindle.core.model import TargetState
-from tests.core.home_fakes import FakeTargetWeights, arrival, make_coordinator, targets
+from tests.core.coordinator_fakes import (
+    FakeTargetWeights,
+    arrival,
+    make_coordinator,
+    targets,
+)
 
 
 def dispatches(decisions):
--- a/tests/core/test_home_load.py
+++ b/tests/core/test_group_coordinator_load.py
@@ -27,9 +27,9 @@
     make_jobs,
     make_targets,
 )
-from crocusspindle.core.home import Home, HomeSettings
+from crocusspindle.core.group_coordinator import CoordinatorSettings, GroupCoordinator
 from crocusspindle.ids import CustomerId
-from tests.core.home_fakes import FakeTargetWeights
+from tests.core.coordinator_fakes import FakeTargetWeights
 
 
 def test_a_customer_at_five_times_its_rate_starves_no_other():
@@ -56,7 +56,7 @@
         job.request = number
         job.arrived_ms += 5_000.0
         job.deadline_ms += 5_000.0
-    loop, driver, _ = make_driver(HomeSettings(max_queued=200))
+    loop, driver, _ = make_driver(CoordinatorSettings(max_queued=200))
     driver.submit(jobs)
     driver.submit(burst)
     loop.run()
@@ -97,9 +97,9 @@
         loop.run()
         return describe_customers(jobs, None)["worst_share_in_time"]
 
-    plain = HomeSettings(retry_fraction=0.0, hedge_fraction=0.0, max_attempts=1)
+    plain = CoordinatorSettings(retry_fraction=0.0, hedge_fraction=0.0, max_attempts=1)
     assert worst(plain) < 0.995
-    assert worst(HomeSettings()) >= 0.999
+    assert worst(CoordinatorSettings()) >= 0.999
 
 
 def test_retries_do_not_multiply_a_total_failure():
@@ -115,8 +115,8 @@
         loop.run()
         return sum(job.sent for job in jobs) / len(jobs)
 
-    assert sent_per_request(HomeSettings(retry_fraction=1.0)) > 1.5
-    assert sent_per_request(HomeSettings()) < 1.12
+    assert sent_per_request(CoordinatorSettings(retry_fraction=1.0)) > 1.5
+    assert sent_per_request(CoordinatorSettings()) < 1.12
 
 
 def test_short_work_beside_long_work_meets_its_deadline():
@@ -147,7 +147,9 @@
     targets = make_targets(loop, 8, real, random.Random(1))
     for target in targets:
         target.target = replace(target.target, slots=claimed)
-    coordinator = Home.from_config(HomeSettings(), ConstantFitness(), random.Random(2))
+    coordinator = GroupCoordinator.from_config(
+        CoordinatorSettings(), ConstantFitness(), random.Random(2)
+    )
     driver = HomeDriver(loop, coordinator, targets)
     demand = [Demand(CustomerId("club"), load * 8 * real * 20.0, 1.0, 5_000.0)]
     jobs = make_jobs(demand, 40_000.0, exponential_work, random.Random(3))
@@ -165,8 +167,8 @@
     targets = make_targets(loop, 8, 2, random.Random(1))
     jobs = make_jobs(demands(), 20_000.0, exponential_work, random.Random(3))
     for number in range(2):
-        coordinator = Home.from_config(
-            HomeSettings(), ConstantFitness(), random.Random(2)
+        coordinator = GroupCoordinator.from_config(
+            CoordinatorSettings(), ConstantFitness(), random.Random(2)
         )
         HomeDriver(loop, coordinator, targets).submit(jobs[number::2])
     loop.run()
@@ -178,7 +180,7 @@
     """Forty entries choose among targets of two slots, each by the few requests that it
     sent itself. Requests queue at one target while another idles."""
     by_entries = place_by_entries(0.8, 20.0, queues=True)
-    by_coordinator = place_by_home(0.8, 20.0, HomeSettings())
+    by_coordinator = place_by_home(0.8, 20.0, CoordinatorSettings())
     assert by_entries["overruns_per_request"] > 0.3
     assert by_coordinator["overruns_per_request"] < 0.01
     assert by_coordinator["mean_wait_ms"] < 0.3 * by_entries["mean_wait_ms"]
@@ -196,7 +198,9 @@
     for target in targets[:4]:
         target.fail_fraction = 1.0
         fake_weights.weights[target.target.target] = 0.1
-    coordinator = Home.from_config(HomeSettings(), fake_weights, random.Random(2))
+    coordinator = GroupCoordinator.from_config(
+        CoordinatorSettings(), fake_weights, random.Random(2)
+    )
     HomeDriver(loop, coordinator, targets).submit(jobs)
     loop.run()
     assert share_in_time(jobs) >= 0.999
--- a/tests/core/test_home_machine.py
+++ b/tests/core/test_group_coordinator_machine.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from crocusspindle.core.home import (
+from crocusspindle.core.group_coordinator import (
     AttemptEnd,
     Cancel,
     Dispatch,
@@ -16,7 +16,12 @@
     Refuse,
 )
 from crocusspindle.core.model import TargetState
-from tests.core.home_fakes import FakeTargetWeights, arrival, make_coordinator, targets
+from tests.core.coordinator_fakes import (
+    FakeTargetWeights,
+    arrival,
+    make_coordinator,
+    targets,
+)
 
 PROVABLY_NOT_RUN = {AttemptEnd.SHED, AttemptEnd.UNSENT}
 INDEX = st.integers(0, 1_000)
--- a/tests/core/test_groups.py
+++ b/tests/core/test_groups.py
@@ -3,8 +3,8 @@
 
 import pytest
 
+from crocusspindle.core.group_coordinator import HomeLoad
 from crocusspindle.core.groups import GroupChooser, cut
-from crocusspindle.core.home import HomeLoad
 
 TARGETS = [f"10.0.{index // 250}.{index % 250}:80" for index in range(1_000)]
 
--- a/tests/core/test_health_floor.py
+++ b/tests/core/test_health_floor.py
@@ -47,16 +47,16 @@
 class TwoCoordinators(RuleBasedStateMachine):
     """Let two coordinators evaluate the same group, each on its own evidence."""
 
-    homes_at_once = COORDINATORS
+    coordinators_at_once = COORDINATORS
 
     def __init__(self) -> None:
         super().__init__()
         self.now_ms = 0.0
         self.targets = make_targets(8, 2)
         config = HealthSettings(
-            least_threshold_nats=6.0,
-            most_threshold_nats=6.0,
-            homes_at_once=self.homes_at_once,
+            min_threshold_nats=6.0,
+            max_threshold_nats=6.0,
+            coordinators_at_once=self.coordinators_at_once,
         )
         self.coordinators = [
             GroupHealth.from_config(config, FLOOR) for _ in range(COORDINATORS)
@@ -137,7 +137,7 @@
 class TwoNaiveCoordinators(TwoCoordinators):
     """Let each coordinator eject all that the floor allows to a single one."""
 
-    homes_at_once = 1
+    coordinators_at_once = 1
 
 
 SEARCH = settings(
@@ -157,11 +157,13 @@
         run_state_machine_as_test(TwoNaiveCoordinators, settings=first_find)
 
 
-def two_partitioned_coordinators(homes_at_once: int) -> tuple[float, list[HealthTrial]]:
+def two_partitioned_coordinators(
+    coordinators_at_once: int,
+) -> tuple[float, list[HealthTrial]]:
     trials = []
     ejected: set[TargetId] = set()
     for seed, bad in enumerate([slice(0, 4), slice(4, 8)]):
-        config = HealthSettings(homes_at_once=homes_at_once)
+        config = HealthSettings(coordinators_at_once=coordinators_at_once)
         trial = HealthTrial.from_config(8, 2, seed=seed, settings=config)
         for target in trial.targets[bad]:
             trial.behaviours[target.target] = since(5_000.0, failing(1.0))
@@ -175,9 +177,9 @@
     # A network partition leaves two coordinators for one group. Each sees the half of
     # the targets beyond the partition fail; if both ejected it, no target would be left
     # in service of both. The naive rule, the whole cap for each, must fail this test.
-    naive, _ = two_partitioned_coordinators(homes_at_once=1)
+    naive, _ = two_partitioned_coordinators(coordinators_at_once=1)
     assert naive < FLOOR
-    shared, trials = two_partitioned_coordinators(homes_at_once=2)
+    shared, trials = two_partitioned_coordinators(coordinators_at_once=2)
     assert shared >= FLOOR
     for trial in trials:
         assert trial.times(EjectionWithheld)
