--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -17,7 +17,7 @@
 from typing import Final
 
 import crocusspindle.services.assembly  # noqa: F401 - its memory is measured
-from crocusspindle.core.directory import Directory, digest_of
+from crocusspindle.core.directory import Directory, key_digest
 from crocusspindle.core.directory_dump import dump_parts, load_parts
 from crocusspindle.core.model import Approval, Customer, CustomerKey, Route, Service
 from crocusspindle.ids import CustomerId, ServiceId
@@ -65,7 +65,7 @@
     for number in range(customers):
         name = CustomerId(f"customer-{number}")
         directory.put_customer(Customer(name, 1.0 + number % 50, 2 + number % 100))
-        directory.put_key(CustomerKey(digest_of(f"key-{number}"), name))
+        directory.put_key(CustomerKey(key_digest(f"key-{number}"), name))
         directory.put_approval(Approval(service_of(number), name, "owner"))
     return directory
 
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -26,9 +26,9 @@
     since,
     slow,
 )
+from crocusspindle.core.group_reference import FALSE_ALARMS_FACTOR
 from crocusspindle.core.health import GroupHealth
 from crocusspindle.core.health_state import Ejected, HealthSettings
-from crocusspindle.core.reference import FALSE_ALARMS_FACTOR
 
 ROOT: Final = Path(__file__).parents[1]
 BOUNDS_PATH: Final = ROOT / "benchmarks" / "bounds" / "health.json"
--- a/src/crocusspindle/core/directory.py
+++ b/src/crocusspindle/core/directory.py
@@ -65,7 +65,7 @@
     return number.to_bytes(NUMBER_BYTES, "little")
 
 
-def digest_of(key: str) -> KeyDigest:
+def key_digest(key: str) -> KeyDigest:
     """Return the digest that identifies an API key.
 
     A header may contain bytes that are not UTF-8; these give an unknown key, not an
@@ -264,7 +264,7 @@
 
     def authenticate(self, key: str) -> CustomerId | None:
         """Return the customer of an active key, or None."""
-        digest = digest_of(key)
+        digest = key_digest(key)
         for record in self.key_table.matches(self._bucket_hash(digest), digest):
             if not hmac.compare_digest(record[:DIGEST_BYTES], digest):
                 continue
--- a/src/crocusspindle/core/health.py
+++ b/src/crocusspindle/core/health.py
@@ -11,6 +11,7 @@
 
 from crocusspindle.core.ejection import EjectionBudget
 from crocusspindle.core.evidence import Reference
+from crocusspindle.core.group_reference import GroupReference
 from crocusspindle.core.health_state import (
     Cause,
     EjectionWithheld,
@@ -28,7 +29,6 @@
 )
 from crocusspindle.core.model import Target, TargetState
 from crocusspindle.core.peers import PeerComparison
-from crocusspindle.core.reference import GroupReference
 from crocusspindle.core.target_record import TargetRecord
 from crocusspindle.ids import TargetId
 
--- a/src/crocusspindle/core/operation_entries.py
+++ b/src/crocusspindle/core/operation_entries.py
@@ -5,12 +5,12 @@
 from typing import Final
 
 from crocusspindle.core.operation_records import (
-    Answer,
     Attempt,
     LedgerMode,
     OperationName,
     Record,
     RecordState,
+    StoredResponse,
     WriteRow,
     decode_record,
     encode_record,
@@ -39,7 +39,7 @@
     retry_ms: float = 1_000.0
     max_records: int = 100_000
     max_body_bytes: int = 16_384
-    max_answer_bytes: int = 16 * 1024 * 1024
+    max_response_bytes: int = 16 * 1024 * 1024
     max_row_calls: int = 4
 
 
@@ -84,7 +84,7 @@
 
 
 def with_state(
-    record: Record, state: RecordState, response: Answer | None = None
+    record: Record, state: RecordState, response: StoredResponse | None = None
 ) -> Record:
     """Return a copy of a record in another state."""
     return replace(record, state=state, response=response)
@@ -183,12 +183,12 @@
         elif record.response is not None:
             self.finish(entry, record.response)
 
-    def finish(self, entry: LedgerEntry, response: Answer) -> None:
+    def finish(self, entry: LedgerEntry, response: StoredResponse) -> None:
         """Store a response, without its body if that exceeds the bounds."""
         entry.phase = EntryPhase.DONE
         body = response.body
         if body is not None:
-            room = self._limits.max_answer_bytes - self._response_bytes
+            room = self._limits.max_response_bytes - self._response_bytes
             if len(body) > min(self._limits.max_body_bytes, room):
                 response = replace(response, body=None)
             else:
--- a/src/crocusspindle/core/operation_places.py
+++ b/src/crocusspindle/core/operation_holders.py
@@ -78,7 +78,7 @@
         self._prune(now_ms)
         return True
 
-    def pair(self, name: OperationName) -> MemberIds:
+    def current_holders(self, name: OperationName) -> MemberIds:
         """Return the holders under the current view."""
         known = self._holders_cache.get(name)
         if known is None:
@@ -90,12 +90,14 @@
 
     def second_holder(self, name: OperationName) -> MemberId | None:
         """Return the other holder, or None if there is no other member."""
-        others = [holder for holder in self.pair(name) if holder != self.member]
+        others = [
+            holder for holder in self.current_holders(name) if holder != self.member
+        ]
         return others[0] if others else None
 
     def holds(self, name: OperationName) -> bool:
         """Return True if this member is a holder under the current view."""
-        return self.member in self.pair(name)
+        return self.member in self.current_holders(name)
 
     def covers_window(self, name: OperationName, now_ms: float) -> bool:
         """Return True if this member was a holder throughout the window.
@@ -110,14 +112,14 @@
             return False
         return self.member in holders(name, {*self._since_ms, *self._departed_at_ms})
 
-    def whole(self, now_ms: float) -> bool:
+    def covers_window_for_all_keys(self, now_ms: float) -> bool:
         """Return True if local records cover the window for every key."""
         start_ms = now_ms - self._window_ms
         latest_join_ms = max(self._since_ms.values(), default=now_ms)
         reaches_back = max(latest_join_ms, self._continuous_since_ms) <= start_ms
         return reaches_back and not self._departed_at_ms
 
-    def loaded(self, view_number: ViewNumber) -> bool:
+    def mark_table_loaded(self, view_number: ViewNumber) -> bool:
         """Record that all table rows were read under a settled view.
 
         After a start or a membership change no holder's records cover the window, so
@@ -151,7 +153,7 @@
         known = self._member_lists.get(view) if members is None else members
         self._outages[view] = None if known is None else frozenset(known)
 
-    def outage_flushed(self, view: ViewNumber, member: MemberId) -> None:
+    def note_outage_flushed(self, view: ViewNumber, member: MemberId) -> None:
         """Record that a member wrote its records of an outage to the table."""
         self._flushed.setdefault(view, set()).add(member)
 
--- a/src/crocusspindle/core/operation_records.py
+++ b/src/crocusspindle/core/operation_records.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class StoredResponse:
     """Hold a stored response; ``body`` is None if it was too large to store."""
 
     status: int
@@ -73,7 +73,7 @@
     origin: MemberId
     fingerprint: bytes
     state: RecordState
-    response: Answer | None = None
+    response: StoredResponse | None = None
 
 
 def encode_record(record: Record) -> bytes:
@@ -113,12 +113,14 @@
 
 def _decode_response(
     status: int, digest: bytes, headers: Any, body: bytes | None
-) -> Answer:
-    return Answer(status, digest, tuple((name, text) for name, text in headers), body)
+) -> StoredResponse:
+    return StoredResponse(
+        status, digest, tuple((name, text) for name, text in headers), body
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Right:
+class DecisionAuthority:
     """Hold the mode in which this node may decide operations, and until when."""
 
     mode: LedgerMode
@@ -147,7 +149,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskPeer:
+class RecordAtPeer:
     """Request that the second holder record the attempt, then call ``peer_result``."""
 
     peer: MemberId
@@ -204,7 +206,7 @@
 class AlreadyRan:
     """Hold the stored response of the only run."""
 
-    response: Answer
+    response: StoredResponse
 
 
 @dataclass(frozen=True, slots=True)
@@ -242,7 +244,7 @@
 
 
 Refusal = AlreadyRan | InProgress | OutcomeUnknown | NotRun | FingerprintMismatch
-Decision = AskPeer | WriteRow | ReadRow | Granted | Refusal
+Decision = RecordAtPeer | WriteRow | ReadRow | Granted | Refusal
 
 
 class PeerVerdict(Enum):
@@ -268,7 +270,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class Settlement:
     """Hold the updates to send after an attempt ended; both are best effort.
 
     If an update is lost, the record stays begun: retries are refused, never run.
--- a/src/crocusspindle/core/operations.py
+++ b/src/crocusspindle/core/operations.py
@@ -21,13 +21,12 @@
     LedgerEntry,
     LedgerLimits,
 )
-from crocusspindle.core.operation_places import HolderHistory
+from crocusspindle.core.operation_holders import HolderHistory
 from crocusspindle.core.operation_records import (
     AlreadyRan,
-    Answer,
-    AskPeer,
     Attempt,
     Decision,
+    DecisionAuthority,
     FingerprintMismatch,
     Granted,
     InProgress,
@@ -40,11 +39,12 @@
     PeerVerdict,
     ReadRow,
     Record,
+    RecordAtPeer,
     RecordState,
-    Right,
     RowOutcome,
     RowResult,
-    Settled,
+    Settlement,
+    StoredResponse,
     UnknownReason,
     WriteRow,
     decode_record,
@@ -68,28 +68,28 @@
         self.member = member
         self._limits = limits or LedgerLimits()
         window_ms = self._limits.retention_ms + self._limits.margin_ms
-        self.places = HolderHistory(member, window_ms)
+        self.holder_history = HolderHistory(member, window_ms)
         self._entries = LedgerEntries(self._limits)
-        self._releases: deque[Settled] = deque(maxlen=MAX_RELEASES)
+        self._releases: deque[Settlement] = deque(maxlen=MAX_RELEASES)
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def adopt(self, view: MemberView, now_ms: float) -> bool:
         """Adopt a later view; return False for an older one."""
-        return self.places.adopt(view, now_ms)
+        return self.holder_history.adopt(view, now_ms)
 
     def note_outages(self, views: Iterable[ViewNumber]) -> None:
         """Record the views under which members acted without the platform."""
         for view in views:
-            self.places.note_outage(view)
+            self.holder_history.note_outage(view)
 
     def begin(
         self,
         name: OperationName,
         attempt: Attempt,
         fingerprint: bytes,
-        authority: Right,
+        authority: DecisionAuthority,
         now_ms: float,
     ) -> Decision:
         """Decide on an attempt that an entry requests.
@@ -97,15 +97,16 @@
         Each attempt is requested from one holder only; a request to the next holder is
         a new attempt.
         """
-        if not self.places.holds(name):
+        if not self.holder_history.holds(name):
             return self._refuse(NotRunReason.NOT_A_HOLDER, now_ms)
         entry = self._entries.live(name, now_ms)
         if entry is not None and entry.phase is not EntryPhase.FREE:
             return self._decide_existing(entry, attempt, fingerprint, now_ms)
         refusal_reason = self._refusal_reason(entry, attempt, authority, now_ms)
         if refusal_reason is not None:
-            covers_earlier = now_ms < authority.until_ms and self.places.covers_window(
-                name, now_ms
+            covers_earlier = (
+                now_ms < authority.until_ms
+                and self.holder_history.covers_window(name, now_ms)
             )
             return self._refuse(refusal_reason, now_ms, covers_earlier)
         record = Record(name, attempt, self.member, fingerprint, RecordState.BEGUN)
@@ -117,10 +118,10 @@
             now_ms,
         )
         entry.authority_until_ms = authority.until_ms
-        second_holder = self.places.second_holder(name)
+        second_holder = self.holder_history.second_holder(name)
         if second_holder is None:
             return self._recorded(entry, False, now_ms)
-        return AskPeer(second_holder, self._view_number, record, authority.mode)
+        return RecordAtPeer(second_holder, self._view_number, record, authority.mode)
 
     def peer_result(
         self,
@@ -179,8 +180,8 @@
         return entry is not None and now_ms < entry.dispatch_by_ms
 
     def finished(
-        self, name: OperationName, attempt: Attempt, response: Answer
-    ) -> Settled | None:
+        self, name: OperationName, attempt: Attempt, response: StoredResponse
+    ) -> Settlement | None:
         """Record the response of the only run and return the updates to send."""
         entry = self._entries.find_own(name, attempt, self.member, EntryPhase.BEGUN)
         if entry is None:
@@ -188,7 +189,7 @@
         self._entries.finish(entry, response)
         return self._settled(entry)
 
-    def released(self, name: OperationName, attempt: Attempt) -> Settled | None:
+    def released(self, name: OperationName, attempt: Attempt) -> Settlement | None:
         """Record that the owner of an attempt did not and will not send it.
 
         The owner may give up while this node still waits for the peer or the table.
@@ -202,25 +203,25 @@
         entry.cancel()
         return self._settled(entry)
 
-    def take_releases(self) -> list[Settled]:
+    def pop_releases(self) -> list[Settlement]:
         """Return and clear the updates for attempts refused midway."""
         releases = list(self._releases)
         self._releases.clear()
         return releases
 
-    def record_for_peer(self, request: AskPeer, now_ms: float) -> PeerReply:
+    def record_for_peer(self, request: RecordAtPeer, now_ms: float) -> PeerReply:
         """Record an attempt for the other holder, before it is granted there."""
         record = request.record
         if self._view_number != request.view:
             return PeerReply(PeerVerdict.OTHER_VIEW)
-        if not self.places.holds(record.name):
+        if not self.holder_history.holds(record.name):
             return PeerReply(PeerVerdict.NOT_A_HOLDER)
         held = self._entries.live(record.name, now_ms)
         if held is not None and not self._may_replace(held, request):
             return PeerReply(PeerVerdict.HELD, held=held.record)
         if held is None and self._entries.full:
             return PeerReply(PeerVerdict.FULL)
-        complete = self.places.covers_window(record.name, now_ms)
+        complete = self.holder_history.covers_window(record.name, now_ms)
         entry = self._entries.put(
             record, EntryPhase.BEGUN, request.mode, request.view, now_ms
         )
@@ -262,15 +263,17 @@
 
     def load(self, record: Record, row_version: int, now_ms: float) -> None:
         """Store a table row that was read to complete this node's records."""
-        if self.places.holds(record.name):
+        if self.holder_history.holds(record.name):
             self._entries.apply_row(record, row_version, self._view_number, now_ms)
 
-    def loaded(self, view_number: ViewNumber) -> bool:
+    def mark_table_loaded(self, view_number: ViewNumber) -> bool:
         """Record that every row was read under a settled view.
 
         See `HolderHistory.mark_table_loaded`.
         """
-        return not self._entries.full and self.places.loaded(view_number)
+        return not self._entries.full and self.holder_history.mark_table_loaded(
+            view_number
+        )
 
     def expire(self, now_ms: float) -> list[Record]:
         """Drop the records whose retention window has ended.
@@ -285,14 +288,14 @@
 
     @property
     def _view_number(self) -> ViewNumber:
-        view = self.places.view
+        view = self.holder_history.view
         return ViewNumber(0) if view is None else view.number
 
     def _refusal_reason(
         self,
         entry: LedgerEntry | None,
         attempt: Attempt,
-        authority: Right,
+        authority: DecisionAuthority,
         now_ms: float,
     ) -> NotRunReason | None:
         if now_ms >= authority.until_ms:
@@ -322,7 +325,7 @@
             return InProgress(retry_at_ms)
         return OutcomeUnknown(UnknownReason.ATTEMPT_LOST, retry_at_ms)
 
-    def _may_replace(self, held: LedgerEntry, request: AskPeer) -> bool:
+    def _may_replace(self, held: LedgerEntry, request: RecordAtPeer) -> bool:
         if held.phase is EntryPhase.FREE:
             return request.record.attempt not in held.cancelled
         if held.record.origin != request.record.origin or held.phase is EntryPhase.DONE:
@@ -333,12 +336,12 @@
         self, entry: LedgerEntry, peer_complete: bool, now_ms: float
     ) -> Decision:
         name = entry.record.name
-        complete = peer_complete or self.places.covers_window(name, now_ms)
+        complete = peer_complete or self.holder_history.covers_window(name, now_ms)
         if entry.mode is LedgerMode.PEER:
             if not complete:
                 return self._abort_unknown(entry, UnknownReason.RECORDS_LOST, now_ms)
             return self._grant(entry, now_ms)
-        if not complete and self.places.unflushed(name, now_ms):
+        if not complete and self.holder_history.unflushed(name, now_ms):
             return self._abort_unknown(entry, UnknownReason.UNFLUSHED, now_ms)
         entry.phase = EntryPhase.WRITING_ROW
         return self._write_row(entry)
@@ -348,8 +351,8 @@
     ) -> Decision:
         begun = held.state is RecordState.BEGUN
         if begun and held.origin == self.member and held.attempt in entry.cancelled:
-            return AskPeer(
-                self.places.second_holder(held.name) or self.member,
+            return RecordAtPeer(
+                self.holder_history.second_holder(held.name) or self.member,
                 entry.view,
                 entry.record,
                 entry.mode,
@@ -414,7 +417,7 @@
         covers_earlier = (
             now_ms < entry.authority_until_ms and self._view_number == entry.view
         )
-        covers_earlier = covers_earlier and self.places.covers_window(
+        covers_earlier = covers_earlier and self.holder_history.covers_window(
             entry.record.name, now_ms
         )
         return self._refuse(reason, now_ms, covers_earlier)
@@ -434,7 +437,7 @@
     ) -> NotRun:
         return NotRun(reason, now_ms + self._limits.retry_ms, covers_earlier)
 
-    def _settled(self, entry: LedgerEntry) -> Settled:
+    def _settled(self, entry: LedgerEntry) -> Settlement:
         record = entry.record
         row = self._write_row(entry) if entry.row_is_own else None
-        return Settled(self.places.second_holder(record.name), record, row)
+        return Settlement(self.holder_history.second_holder(record.name), record, row)
--- a/src/crocusspindle/core/peers.py
+++ b/src/crocusspindle/core/peers.py
@@ -5,13 +5,13 @@
 
 from crocusspindle.core.ejection import EjectionBudget
 from crocusspindle.core.evidence import NEUTRAL, Cusum, TargetEvidence
+from crocusspindle.core.group_reference import GroupReference
 from crocusspindle.core.health_state import (
     Evidence,
     HealthSettings,
     HealthState,
     Outcome,
 )
-from crocusspindle.core.reference import GroupReference
 from crocusspindle.core.target_record import TargetRecord
 
 BIN_MS: Final = 100.0
--- a/src/crocusspindle/core/tickets.py
+++ b/src/crocusspindle/core/tickets.py
@@ -48,7 +48,7 @@
         """Return the route prefixes that point to a service."""
 
 
-def references_check(
+def check_references(
     ticket: Ticket, directory: DirectoryView, source: str = "ticket"
 ) -> tuple[Finding, ...]:
     """Return a finding for each reference that the ticket would leave dangling."""
--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -19,8 +19,8 @@
     Submission,
     SubmissionOutcome,
     SubmissionStep,
+    check_references,
     in_force,
-    references_check,
 )
 from crocusspindle.errors import (
     Finding,
@@ -150,7 +150,7 @@
             "members": self._members(view),
             "groups": self._home.status(),
             "shares": asdict(self._rates.status()),
-            "operations_whole": self._ledger.whole(),
+            "operations_whole": self._ledger.covers_window_for_all_keys(),
             "counts": control.directory.counts(),
         }
 
@@ -169,7 +169,7 @@
             raise TicketError([Finding("ticket", "number", message)])
         directory = self._control.directory
         findings = [
-            *references_check(ticket, DirectoryFacts(directory)),
+            *check_references(ticket, DirectoryFacts(directory)),
             *directory.check(changes_of(ticket)),
         ]
         if findings:
--- a/src/crocusspindle/services/caller_response.py
+++ b/src/crocusspindle/services/caller_response.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from crocusspindle.core.operation_records import Answer
+from crocusspindle.core.operation_records import StoredResponse
 from crocusspindle.services import words
 from crocusspindle.services.hand_over import HomeAnswer
 from crocusspindle.services.peers import PEER_FAILURES
@@ -32,10 +32,12 @@
         if len(self._body) > self._limit_bytes:
             self._body = None
 
-    def answer(self, found: HomeAnswer) -> Answer:
+    def answer(self, found: HomeAnswer) -> StoredResponse:
         """Return the answer to keep, without its body if that was too long."""
         body = None if self._body is None else bytes(self._body)
-        return Answer(found.status, self._digest.digest(), tuple(found.headers), body)
+        return StoredResponse(
+            found.status, self._digest.digest(), tuple(found.headers), body
+        )
 
 
 async def pass_on(
@@ -82,7 +84,7 @@
     return True
 
 
-def kept_response(answer: Answer, name: str) -> web.Response:
+def kept_response(answer: StoredResponse, name: str) -> web.Response:
     """Return the kept answer of an operation that ran before."""
     if answer.body is None:
         raise RefusedError(words.ANSWER_NOT_KEPT)
--- a/src/crocusspindle/services/entry.py
+++ b/src/crocusspindle/services/entry.py
@@ -13,10 +13,10 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.core.caller_addresses import caller_addresses
 from crocusspindle.core.decisions import Outcome
-from crocusspindle.core.directory import digest_of
+from crocusspindle.core.directory import key_digest
 from crocusspindle.core.loans import OverRate, Spent, Unfit
 from crocusspindle.core.model import Customer, Route
-from crocusspindle.core.operation_records import Answer, OperationName
+from crocusspindle.core.operation_records import OperationName, StoredResponse
 from crocusspindle.core.rendezvous import order
 from crocusspindle.ids import CustomerId, DomainId, MemberId, OperationKey
 from crocusspindle.kernel import Service
@@ -144,7 +144,7 @@
         customer = None if customer_id is None else directory.customer(customer_id)
         if scheme.lower() != "bearer" or customer is None:
             raise RefusedError(words.UNAUTHENTICATED)
-        return customer, digest_of(key.strip())
+        return customer, key_digest(key.strip())
 
     def _route(self, request: web.BaseRequest, customer: Customer) -> Route:
         route = self._control.directory.route(request.path)
@@ -271,7 +271,7 @@
         self, request: web.BaseRequest, call: CallerRequest, spent: Spent
     ) -> web.StreamResponse:
         begun = await self._begin(request, call)
-        if isinstance(begun, Answer):
+        if isinstance(begun, StoredResponse):
             self._rates.refund(call.customer, spent)
             return kept_response(begun, call.request)
         if isinstance(begun, GivenUp):
@@ -307,7 +307,7 @@
 
     async def _begin(
         self, request: web.BaseRequest, call: CallerRequest
-    ) -> Begun | Answer | GivenUp | None:
+    ) -> Begun | StoredResponse | GivenUp | None:
         key = request.headers.get(OPERATION_KEY)
         if call.idempotent or key is None:
             return None
--- a/src/crocusspindle/services/ledger.py
+++ b/src/crocusspindle/services/ledger.py
@@ -11,20 +11,20 @@
 from crocusspindle.core.operation_entries import LedgerLimits
 from crocusspindle.core.operation_records import (
     TABLE,
-    Answer,
-    AskPeer,
     Attempt,
     Decision,
+    DecisionAuthority,
     LedgerMode,
     OperationName,
     PeerReply,
     PeerVerdict,
     ReadRow,
     Record,
-    Right,
+    RecordAtPeer,
     RowOutcome,
     RowResult,
-    Settled,
+    Settlement,
+    StoredResponse,
     WriteRow,
     decode_record,
     encode_record,
@@ -97,7 +97,7 @@
             LedgerLimits(
                 retention_ms=timings.operation_retention_ms,
                 max_body_bytes=limits.answer_kept_bytes,
-                max_answer_bytes=limits.operation_memory_bytes,
+                max_response_bytes=limits.operation_memory_bytes,
             ),
         )
         self._adopted_ms = 0.0
@@ -113,13 +113,13 @@
         """Begin to expire records and to flush those of an outage."""
         self.spawn(self._keep_house())
 
-    def whole(self) -> bool:
+    def covers_window_for_all_keys(self) -> bool:
         """Return True if memory alone may decide here on every key it holds."""
-        return self._ledger.places.whole(now_ms())
+        return self._ledger.holder_history.covers_window_for_all_keys(now_ms())
 
     def holders(self, name: OperationName) -> tuple[MemberId, ...]:
         """Return the members that may decide on an operation, in order."""
-        return self._ledger.places.pair(name)
+        return self._ledger.holder_history.current_holders(name)
 
     async def begin(
         self, name: OperationName, attempt: Attempt, fingerprint: bytes
@@ -130,18 +130,18 @@
             name, attempt, fingerprint, self._right(), now_ms()
         )
         while True:
-            if isinstance(decision, AskPeer):
+            if isinstance(decision, RecordAtPeer):
                 reply = await self._ask_peer(decision)
                 decision = self._ledger.peer_result(name, attempt, reply, now_ms())
             elif isinstance(decision, WriteRow | ReadRow):
                 result = await self._call_row(decision)
                 decision = self._ledger.row_result(name, attempt, result, now_ms())
             else:
-                self._send_on(self._ledger.take_releases())
+                self._send_on(self._ledger.pop_releases())
                 return decision
 
     def settle(
-        self, name: OperationName, attempt: Attempt, answer: Answer | None
+        self, name: OperationName, attempt: Attempt, answer: StoredResponse | None
     ) -> None:
         """Take an entry's word on its attempt; None says that it did not run."""
         if answer is None:
@@ -154,7 +154,7 @@
     def record(self, asked: wire.RecordBegunRequest) -> wire.RecordBegunReply:
         """Record an attempt for the other holder."""
         replaces = asked.replaces
-        question = AskPeer(
+        question = RecordAtPeer(
             peer=self._control.me.member,
             view=ViewNumber(asked.view_number),
             record=decode_record(asked.record),
@@ -182,7 +182,7 @@
         while now_ms() < until_ms and now_ms() >= self._right().until_ms:
             await asyncio.sleep(self._timings.heartbeat_ms / RIGHT_LOOKS / 1e3)
 
-    def _right(self) -> Right:
+    def _right(self) -> DecisionAuthority:
         """Return by what operations may be decided now, and until when."""
         fitness, now = self._control.fitness, now_ms()
         # Ahead of each decision: a right to decide by table may have come with the
@@ -190,14 +190,14 @@
         self._ledger.note_outages(fitness.away_views(now))
         table_until_ms = fitness.table_until_ms(now)
         if now < table_until_ms:
-            return Right(LedgerMode.TABLE, table_until_ms)
-        return Right(LedgerMode.PEER, fitness.peer_until_ms(now))
+            return DecisionAuthority(LedgerMode.TABLE, table_until_ms)
+        return DecisionAuthority(LedgerMode.PEER, fitness.peer_until_ms(now))
 
     def _take_view(self, view: MemberView) -> None:
         self._ledger.adopt(view, now_ms())
         self._adopted_ms = now_ms()
 
-    async def _ask_peer(self, asked: AskPeer) -> PeerReply | None:
+    async def _ask_peer(self, asked: RecordAtPeer) -> PeerReply | None:
         request = wire.RecordBegunRequest(
             view_number=asked.view,
             record=encode_record(asked.record),
@@ -236,13 +236,13 @@
         outcome = RowOutcome.APPLIED if result.applied else RowOutcome.FOUND
         return RowResult(outcome, row.version, row.value)
 
-    def _send_on(self, settled: Iterable[Settled]) -> None:
+    def _send_on(self, settled: Iterable[Settlement]) -> None:
         for one in settled:
             task = asyncio.create_task(self._send_on_one(one))
             self._tasks_once.add(task)
             task.add_done_callback(self._tasks_once.discard)
 
-    async def _send_on_one(self, settled: Settled) -> None:
+    async def _send_on_one(self, settled: Settlement) -> None:
         # Best effort: what is lost here leaves a record that refuses, never runs.
         if settled.peer is not None:
             with suppress(*PEER_FAILURES):
@@ -284,7 +284,9 @@
     async def _load(self) -> None:
         """Read the table into memory, so that an outage may begin at any time."""
         view = self._control.view
-        if view is None or self._ledger.places.whole(now_ms()):
+        if view is None or self._ledger.holder_history.covers_window_for_all_keys(
+            now_ms()
+        ):
             return
         if not self._may_load(view):
             return
@@ -300,7 +302,7 @@
         else:
             return
         if self._may_load(view):
-            self._ledger.loaded(view.number)
+            self._ledger.mark_table_loaded(view.number)
 
     def _may_load(self, view: MemberView) -> bool:
         fitness, now = self._control.fitness, now_ms()
@@ -313,7 +315,7 @@
         for first in range(0, len(rows), FLUSH_AT_ONCE):
             batch = rows[first : first + FLUSH_AT_ONCE]
             await asyncio.gather(*(self._flush_row(row) for row in batch))
-        outages = self._ledger.places.outages()
+        outages = self._ledger.holder_history.outages()
         self._marks_due_ms = {
             number: self._marks_due_ms.get(number, 0.0) for number in outages
         }
@@ -348,7 +350,7 @@
         for row in rows:
             if row.key.startswith(prefix):
                 member = MemberId(row.key.removeprefix(prefix))
-                self._ledger.places.outage_flushed(number, member)
+                self._ledger.holder_history.note_outage_flushed(number, member)
 
 
 def attempt_message(attempt: Attempt) -> wire.Attempt:
@@ -361,7 +363,7 @@
     return Attempt(MemberId(message.owner), AttemptId(message.number))
 
 
-def answer_message(answer: Answer) -> wire.KeptAnswer:
+def answer_message(answer: StoredResponse) -> wire.KeptAnswer:
     """Return a kept answer as peers send it."""
     kept = wire.KeptAnswer(
         status=answer.status,
@@ -375,9 +377,9 @@
     return kept
 
 
-def answer_from(message: wire.KeptAnswer) -> Answer:
+def answer_from(message: wire.KeptAnswer) -> StoredResponse:
     """Return a kept answer that a peer sent."""
-    return Answer(
+    return StoredResponse(
         status=message.status,
         digest=message.digest,
         headers=tuple((header.name, header.value) for header in message.headers),
--- a/src/crocusspindle/services/operations.py
+++ b/src/crocusspindle/services/operations.py
@@ -11,7 +11,6 @@
 from crocusspindle.core.decisions import Outcome
 from crocusspindle.core.operation_records import (
     AlreadyRan,
-    Answer,
     Attempt,
     Decision,
     FingerprintMismatch,
@@ -20,6 +19,7 @@
     NotRun,
     OperationName,
     OutcomeUnknown,
+    StoredResponse,
 )
 from crocusspindle.ids import AttemptId, MemberId
 from crocusspindle.kernel import Service
@@ -78,7 +78,7 @@
 
     async def begin(
         self, name: OperationName, fingerprint: bytes
-    ) -> Begun | Answer | GivenUp:
+    ) -> Begun | StoredResponse | GivenUp:
         """Return leave to run, the answer of the earlier run, or why not.
 
         Holders that cannot decide are asked once more. A holder that stops as
@@ -93,7 +93,7 @@
 
     async def _begin_once(
         self, name: OperationName, fingerprint: bytes
-    ) -> Begun | Answer | GivenUp:
+    ) -> Begun | StoredResponse | GivenUp:
         """Ask the first holder in reach.
 
         Each attempt is asked of one holder only. An attempt whose reply is lost is
@@ -114,7 +114,7 @@
             return _begun(reply, name, attempt, holder, asked_ms)
         return word
 
-    def finished(self, begun: Begun, answer: Answer) -> None:
+    def finished(self, begun: Begun, answer: StoredResponse) -> None:
         """Report the answer of the one run."""
         self._settle(begun, answer)
 
@@ -145,7 +145,7 @@
             request, metadata=self._peers.metadata
         )
 
-    def _settle(self, begun: Begun, answer: Answer | None) -> None:
+    def _settle(self, begun: Begun, answer: StoredResponse | None) -> None:
         task = asyncio.create_task(self._report(begun, answer))
         self._settling.add(task)
         task.add_done_callback(self._settling.discard)
@@ -154,7 +154,7 @@
         """Report what is still to be reported ahead of a planned stop."""
         await asyncio.gather(*self._settling, return_exceptions=True)
 
-    async def _report(self, begun: Begun, answer: Answer | None) -> None:
+    async def _report(self, begun: Begun, answer: StoredResponse | None) -> None:
         # A report that is lost costs a caller that repeats its key the answer; it
         # is told "unknown" and nothing runs again.
         if begun.holder == self._control.me.member:
@@ -224,7 +224,7 @@
     attempt: Attempt,
     holder: MemberId,
     asked_ms: float,
-) -> Begun | Answer | GivenUp:
+) -> Begun | StoredResponse | GivenUp:
     kind = reply.WhichOneof("decision")
     if kind == "granted":
         # Counted from our question: delay on the way can only shorten the leave.
--- a/tests/core/operations_market.py
+++ b/tests/core/ledger_simulation.py
@@ -6,20 +6,20 @@
 from crocusspindle.core.operation_entries import LedgerLimits
 from crocusspindle.core.operation_records import (
     AlreadyRan,
-    Answer,
-    AskPeer,
     Attempt,
     Decision,
+    DecisionAuthority,
     Granted,
     LedgerMode,
     NotRun,
     OperationName,
     OutcomeUnknown,
     ReadRow,
+    RecordAtPeer,
     RecordState,
-    Right,
     RowOutcome,
     RowResult,
+    StoredResponse,
     WriteRow,
     decode_record,
 )
@@ -29,7 +29,7 @@
 LIMITS = LedgerLimits(retention_ms=180_000.0, margin_ms=15_000.0)
 DONE = RecordState.DONE
 KEY_EPOCH_MS = 120_000.0
-ANSWER = Answer(200, b"digest", (("a", "b"),), b"paid")
+ANSWER = StoredResponse(200, b"digest", (("a", "b"),), b"paid")
 
 
 @dataclass
@@ -51,18 +51,18 @@
     ) -> Decision | None:
         """Run one attempt through its calls, each with the next fault of the list."""
         self.attempts += 1
-        attempt = Attempt(node.me.member, AttemptId(self.attempts))
+        attempt = Attempt(node.own_member.member, AttemptId(self.attempts))
         now_ms = self.fleet.now(node)
         decision = node.ledger.begin(
             name, attempt, b"print", self.authority(node, prefer_peer), now_ms
         )
         return self.run_steps(node, name, attempt, decision, faults)
 
-    def authority(self, node: Node, prefer_peer: bool) -> Right:
+    def authority(self, node: Node, prefer_peer: bool) -> DecisionAuthority:
         now_ms = self.fleet.now(node)
         node.ledger.note_outages(node.fitness.away_views(now_ms))
-        peer = Right(LedgerMode.PEER, node.fitness.peer_until_ms(now_ms))
-        table = Right(LedgerMode.TABLE, node.fitness.table_until_ms(now_ms))
+        peer = DecisionAuthority(LedgerMode.PEER, node.fitness.peer_until_ms(now_ms))
+        table = DecisionAuthority(LedgerMode.TABLE, node.fitness.table_until_ms(now_ms))
         choices = [peer, table] if prefer_peer else [table, peer]
         return next((choice for choice in choices if now_ms < choice.until_ms), table)
 
@@ -74,7 +74,7 @@
         decision: Decision,
         faults: list[str],
     ) -> Decision | None:
-        while isinstance(decision, AskPeer | WriteRow | ReadRow):
+        while isinstance(decision, RecordAtPeer | WriteRow | ReadRow):
             fault = faults.pop(0) if faults else "ok"
             if fault == "pause":
                 self.paused_steps.append(
@@ -83,7 +83,7 @@
                 return None
             decision = self.call(node, name, attempt, decision, fault)
         self.check_decision(name, attempt, decision)
-        for settled in node.ledger.take_releases():
+        for settled in node.ledger.pop_releases():
             self.send(node, settled, faults[-1] if faults else "ok")
         if isinstance(decision, Granted):
             self.use_grant(node, name, decision, faults.pop(0) if faults else "ok")
@@ -98,7 +98,7 @@
         faults: list[str],
     ) -> Callable[[], None]:
         def resume() -> None:
-            if node.awake and node.me.member in self.fleet.nodes:
+            if node.awake and node.own_member.member in self.fleet.nodes:
                 self.run_steps(node, name, attempt, decision, faults)
 
         return resume
@@ -108,20 +108,20 @@
         node: Node,
         name: OperationName,
         attempt: Attempt,
-        step: AskPeer | WriteRow | ReadRow,
+        step: RecordAtPeer | WriteRow | ReadRow,
         fault: str,
     ) -> Decision:
-        if isinstance(step, AskPeer):
+        if isinstance(step, RecordAtPeer):
             reply = self.request_peer_record(node, step, fault)
             return node.ledger.peer_result(name, attempt, reply, self.fleet.now(node))
         result = self.call_row(node, step, fault)
         return node.ledger.row_result(name, attempt, result, self.fleet.now(node))
 
-    def request_peer_record(self, node: Node, step: AskPeer, fault: str):  # type: ignore[no-untyped-def]
+    def request_peer_record(self, node: Node, step: RecordAtPeer, fault: str):  # type: ignore[no-untyped-def]
         peer = self.fleet.nodes.get(step.peer)
         request_link, reply_link = (
-            (node.me.member, step.peer),
-            (step.peer, node.me.member),
+            (node.own_member.member, step.peer),
+            (step.peer, node.own_member.member),
         )
         if peer is None or request_link in self.fleet.blocked:
             return None
@@ -136,7 +136,7 @@
         return None if fault == "lost" or reply_link in self.fleet.blocked else reply
 
     def call_row(self, node: Node, step: WriteRow | ReadRow, fault: str) -> RowResult:
-        if node.me.member not in self.fleet.reach:
+        if node.own_member.member not in self.fleet.reaching_platform:
             return RowResult(RowOutcome.UNAVAILABLE)
         if isinstance(step, WriteRow):
             if fault == "late":
@@ -187,7 +187,7 @@
     def send_request(
         self, node: Node, name: OperationName, grant: Granted, fault: str
     ) -> None:
-        alive = node.awake and node.me.member in self.fleet.nodes
+        alive = node.awake and node.own_member.member in self.fleet.nodes
         if not alive or self.fleet.now(node) >= grant.dispatch_by_ms:
             return
         self.runs[name] = self.runs.get(name, 0) + 1
@@ -201,14 +201,17 @@
         peer = self.fleet.nodes.get(settled.peer)
         if (
             peer is not None
-            and (node.me.member, settled.peer) not in self.fleet.blocked
+            and (node.own_member.member, settled.peer) not in self.fleet.blocked
         ):
             peer.ledger.peer_settled(settled.record)
-        if settled.row is not None and node.me.member in self.fleet.reach:
+        if (
+            settled.row is not None
+            and node.own_member.member in self.fleet.reaching_platform
+        ):
             self.put(settled.row)
 
     def flush(self, node: Node) -> None:
-        if node.me.member not in self.fleet.reach or not node.awake:
+        if node.own_member.member not in self.fleet.reaching_platform or not node.awake:
             return
         for step in node.ledger.flush():
             name = decode_record(step.value).name
@@ -220,20 +223,20 @@
         if not node.ledger.flush() and node.view is not None:
             for number in self.fleet.views:
                 if number < node.view.number:
-                    self.marks.add((number, node.me.member))
+                    self.marks.add((number, node.own_member.member))
 
     def load(self, node: Node) -> None:
         now_ms, view = self.fleet.now(node), node.view
-        if view is None or node.me.member not in self.fleet.reach:
+        if view is None or node.own_member.member not in self.fleet.reaching_platform:
             return
         settled = node.fitness.majority_at(view.number, now_ms)
         if not settled or now_ms >= node.fitness.table_until_ms(now_ms):
             return
         for version, value in self.rows.values():
             node.ledger.load(decode_record(value), version, now_ms)
-        node.ledger.loaded(view.number)
+        node.ledger.mark_table_loaded(view.number)
 
     def publish_flush_marks(self) -> None:
         for node in self.fleet.awake():
             for view, member in self.marks:
-                node.ledger.places.outage_flushed(view, member)
+                node.ledger.holder_history.note_outage_flushed(view, member)
--- a/tests/core/small_fleet.py
+++ b/tests/core/small_fleet.py
@@ -23,7 +23,7 @@
 
 @dataclass
 class Node:
-    me: ViewMember
+    own_member: ViewMember
     offset_ms: float
     rate: float
     fitness: Fitness
@@ -46,10 +46,10 @@
 
     fitness_type: type[Fitness] = Fitness
     ledger_limits: LedgerLimits = field(default_factory=LedgerLimits)
-    t_ms: float = 0.0
+    time_ms: float = 0.0
     nodes: dict[MemberId, Node] = field(default_factory=dict)
     blocked: set[tuple[MemberId, MemberId]] = field(default_factory=set)
-    reach: set[MemberId] = field(default_factory=set)
+    reaching_platform: set[MemberId] = field(default_factory=set)
     row: bytes = b""
     views: dict[ViewNumber, MemberView] = field(default_factory=dict)
     tickets: list[float] = field(default_factory=list)
@@ -58,29 +58,29 @@
         index = len(self.nodes)
         member = MemberId(name)
         domain = DomainId(f"domain-{int(address) % 3}")
-        me = ViewMember(member, domain, "region", address, address, 0)
+        own_member = ViewMember(member, domain, "region", address, address, 0)
         node = Node(
-            me,
+            own_member,
             offset_ms=977.0 * index,
             rate=1.0 + 0.02 * (index % 3 - 1),
             fitness=self.fitness_type(member),
-            membership=Membership(me, LIMITS),
+            membership=Membership(own_member, LIMITS),
             ledger=OperationLedger(member, self.ledger_limits),
         )
         self.nodes[member] = node
         if reaches:
-            self.reach.add(member)
+            self.reaching_platform.add(member)
         return node
 
     def now(self, node: Node) -> float:
-        return node.offset_ms + self.t_ms * node.rate
+        return node.offset_ms + self.time_ms * node.rate
 
     def awake(self) -> list[Node]:
         return [node for node in self.nodes.values() if node.awake]
 
     def kill(self, node: Node) -> None:
-        del self.nodes[node.me.member]
-        self.reach.discard(node.me.member)
+        del self.nodes[node.own_member.member]
+        self.reaching_platform.discard(node.own_member.member)
 
     def adopt(self, node: Node, view: MemberView) -> None:
         now_ms = self.now(node)
@@ -89,7 +89,7 @@
             node.ledger.adopt(view, now_ms)
 
     def poll(self, node: Node) -> None:
-        if node.me.member not in self.reach:
+        if node.own_member.member not in self.reaching_platform:
             node.fitness.platform_failing(self.now(node))
             return
         if self.row:
@@ -101,20 +101,22 @@
         node.applied = max(node.applied, number)
         node.fitness.applied = TicketNumber(node.applied)
 
-    def beat(self, node: Node, peer: Node, delay_ms: float = 0.0) -> None:
+    def send_heartbeat(self, node: Node, peer: Node, delay_ms: float = 0.0) -> None:
         """Deliver a heartbeat sent ``delay_ms`` ago, with the peer's reply sent now."""
-        link = (node.me.member, peer.me.member)
+        link = (node.own_member.member, peer.own_member.member)
         if link in self.blocked:
             return
-        peer.membership.heard(node.me.member, self.now(peer))
+        peer.membership.heard(node.own_member.member, self.now(peer))
         if node.view is not None:
             self.adopt(peer, node.view)
         if (link[1], link[0]) in self.blocked:
             return
         sent_ms = self.now(node) - delay_ms
-        node.membership.heard(peer.me.member, self.now(node))
+        node.membership.heard(peer.own_member.member, self.now(node))
         for silent in peer.membership.silent(self.now(peer)):
-            node.membership.silent_elsewhere(silent, peer.me.member, self.now(node))
+            node.membership.silent_elsewhere(
+                silent, peer.own_member.member, self.now(node)
+            )
         if peer.view is not None:
             self.adopt(node, peer.view)
         age_ms = peer.fitness.stamp_age_ms(self.now(peer))
@@ -122,7 +124,7 @@
         if age_ms is not None:
             node.fitness.relayed(sent_ms, age_ms)
         node.fitness.echo(
-            peer.me.member,
+            peer.own_member.member,
             peer.view.number if peer.view else ViewNumber(0),
             sent_ms,
             applied=peer.applied,
@@ -131,13 +133,13 @@
         )
 
     def round(self, *, gossip: bool = True) -> None:
-        self.t_ms += ROUND_MS
+        self.time_ms += ROUND_MS
         for node in self.awake():
             self.poll(node)
         for node in self.awake() if gossip else []:
             for peer in self.awake():
                 if peer is not node:
-                    self.beat(node, peer)
+                    self.send_heartbeat(node, peer)
         for node in self.awake():
             node.fitness.is_fit(self.now(node))
 
@@ -156,17 +158,17 @@
     def outages(self, node: Node) -> list[Outage]:
         away = node.fitness.away_views(self.now(node))
         return [
-            Outage(number, int(self.t_ms), self.views[number].names)
+            Outage(number, int(self.time_ms), self.views[number].names)
             for number in away
             if number in self.views
         ]
 
     def propose(self, node: Node) -> bool:
         """Let a node write the next view if its base is still the current one."""
-        if node.me.member not in self.reach:
+        if node.own_member.member not in self.reaching_platform:
             return False
         proposed = node.membership.propose(
-            self.standing(node), self.now(node), int(self.t_ms), self.outages(node)
+            self.standing(node), self.now(node), int(self.time_ms), self.outages(node)
         )
         if isinstance(proposed, ProposalBar):
             return False
@@ -178,7 +180,7 @@
         self.adopt(node, proposed)
         return True
 
-    def part(self, group: set[MemberId]) -> None:
+    def partition(self, group: set[MemberId]) -> None:
         """Partition a group from the rest in both directions."""
         for one in self.nodes:
             for other in self.nodes:
@@ -186,14 +188,14 @@
                     self.blocked.add((one, other))
 
 
-def started(count: int, **options: object) -> Fleet:
+def started_fleet(count: int, **options: object) -> Fleet:
     """Return a fleet whose members have converged on one view."""
     fleet = Fleet(**options)  # type: ignore[arg-type]
     for index in range(count):
         fleet.start(f"n{index}", str(index))
     first = fleet.nodes[MemberId("n0")]
     for node in fleet.awake():
-        first.membership.asks_to_join(node.me)
+        first.membership.asks_to_join(node.own_member)
     fleet.poll(first)
     assert fleet.propose(first)
     fleet.rounds(6)
--- a/tests/core/test_directory.py
+++ b/tests/core/test_directory.py
@@ -3,7 +3,7 @@
 import pytest
 
 from crocusspindle.core import directory_dump
-from crocusspindle.core.directory import Directory, Put, Remove, digest_of
+from crocusspindle.core.directory import Directory, Put, Remove, key_digest
 from crocusspindle.core.model import (
     Approval,
     Customer,
@@ -20,7 +20,7 @@
 
 
 def key_of(customer: Customer, key: str, state=KeyState.ACTIVE) -> CustomerKey:
-    return CustomerKey(digest_of(key), customer.customer, state)
+    return CustomerKey(key_digest(key), customer.customer, state)
 
 
 def filled(count: int) -> Directory:
@@ -74,7 +74,7 @@
             directory.put_approval(Approval(KATALOG.service, name, "owner"))
             approved.add(name)
         else:
-            directory.remove_key(digest_of(key))
+            directory.remove_key(key_digest(key))
             keys.pop(key, None)
             directory.remove_approval(KATALOG.service, name)
             approved.discard(name)
--- a/tests/core/test_fitness.py
+++ b/tests/core/test_fitness.py
@@ -9,7 +9,7 @@
 from crocusspindle.core.fitness import Fitness, FitnessLimits, FitnessReason
 from crocusspindle.core.members import MemberView, PreviousView, ViewMember
 from crocusspindle.ids import DomainId, MemberId, TicketNumber, ViewNumber
-from tests.core.small_fleet import Fleet, Node, started
+from tests.core.small_fleet import Fleet, Node, started_fleet
 
 LIMITS = FitnessLimits()
 
@@ -136,17 +136,17 @@
 
 def split_fleet(fitness_type: type[Fitness]) -> Fleet:
     """Isolate two of five; the three lose the platform just as a view is written."""
-    fleet = started(5, fitness_type=fitness_type)
+    fleet = started_fleet(5, fitness_type=fitness_type)
     old = {MemberId(name) for name in ("n0", "n1", "n2")}
-    fleet.part(old)
+    fleet.partition(old)
     for name in ("n5", "n6", "n7", "n8"):
         joining = fleet.start(name, name[1:])
-        fleet.part(old)
-        fleet.nodes[MemberId("n4")].membership.asks_to_join(joining.me)
-    fleet.reach -= old
+        fleet.partition(old)
+        fleet.nodes[MemberId("n4")].membership.asks_to_join(joining.own_member)
+    fleet.reaching_platform -= old
     fleet.round()
     fleet.propose(fleet.nodes[MemberId("n4")])
-    fleet.reach.clear()
+    fleet.reaching_platform.clear()
     fleet.rounds(4)
     return fleet
 
@@ -167,7 +167,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = started(5, fitness_type=self.fitness_type)
+        self.fleet = started_fleet(5, fitness_type=self.fitness_type)
         self.started_count = 5
 
     def pick(self, index: int) -> Node:
@@ -184,16 +184,16 @@
     def one_delayed_echo(self, index: int, delay_ms: float) -> None:
         node, peer = self.pick(index), self.pick(index + 1)
         if node is not peer and node.awake and peer.awake:
-            self.fleet.beat(node, peer, delay_ms)
+            self.fleet.send_heartbeat(node, peer, delay_ms)
 
     @rule(group=st.sets(st.integers(0, 9), min_size=1, max_size=4))
     def cut(self, group: set[int]) -> None:
         self.fleet.blocked.clear()
-        self.fleet.part({self.pick(index).me.member for index in group})
+        self.fleet.partition({self.pick(index).own_member.member for index in group})
 
     @rule(sender=st.integers(0, 9), blocks_sending=st.booleans())
     def cut_one_way(self, sender: int, blocks_sending: bool) -> None:
-        one = self.pick(sender).me.member
+        one = self.pick(sender).own_member.member
         for other in self.fleet.nodes:
             self.fleet.blocked.add((one, other) if blocks_sending else (other, one))
 
@@ -201,9 +201,11 @@
     def heal(self) -> None:
         self.fleet.blocked.clear()
 
-    @rule(reach=st.sets(st.integers(0, 9), max_size=5))
-    def platform(self, reach: set[int]) -> None:
-        self.fleet.reach = {self.pick(index).me.member for index in reach}
+    @rule(reaching_platform=st.sets(st.integers(0, 9), max_size=5))
+    def platform(self, reaching_platform: set[int]) -> None:
+        self.fleet.reaching_platform = {
+            self.pick(index).own_member.member for index in reaching_platform
+        }
 
     @rule(index=st.integers(0, 9))
     def pause_or_resume(self, index: int) -> None:
@@ -217,18 +219,21 @@
         address = str(self.started_count)
         if dies:
             old = self.pick(index)
-            address = old.me.peer_address
+            address = old.own_member.peer_address
             self.fleet.kill(old)
         node = self.fleet.start(f"n{self.started_count}", address, reaches=reaches)
         self.started_count += 1
         for peer in self.fleet.awake():
-            if (node.me.member, peer.me.member) not in self.fleet.blocked:
-                peer.membership.asks_to_join(node.me)
+            if (
+                node.own_member.member,
+                peer.own_member.member,
+            ) not in self.fleet.blocked:
+                peer.membership.asks_to_join(node.own_member)
 
     @rule(index=st.integers(0, 9))
     def ticket(self, index: int) -> None:
-        if self.pick(index).me.member in self.fleet.reach:
-            self.fleet.tickets.append(self.fleet.t_ms)
+        if self.pick(index).own_member.member in self.fleet.reaching_platform:
+            self.fleet.tickets.append(self.fleet.time_ms)
 
     @rule(index=st.integers(0, 9))
     def write_view(self, index: int) -> None:
@@ -244,7 +249,7 @@
             if now_ms >= node.fitness.stamp_until_ms():
                 continue
             # Allows for clocks up to 2 % fast or slow.
-            since_ms = self.fleet.t_ms - LIMITS.freshness_ms * 1.03
+            since_ms = self.fleet.time_ms - LIMITS.freshness_ms * 1.03
             due = sum(at_ms < since_ms for at_ms in self.fleet.tickets)
             assert node.applied >= due
 
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -17,7 +17,7 @@
     encode_view,
 )
 from crocusspindle.ids import DomainId, MemberId, ViewNumber
-from tests.core.small_fleet import Fleet, started
+from tests.core.small_fleet import Fleet, started_fleet
 
 LIMITS = MembershipLimits(batch_ms=0.0)
 ELIGIBLE = Standing(fit=True, in_majority=True, confirmed=True)
@@ -175,7 +175,7 @@
 
 def test_only_one_concurrent_writer_succeeds_and_older_views_are_ignored() -> None:
     """Two nodes detect the same lost member and write the next view concurrently."""
-    fleet = started(5)
+    fleet = started_fleet(5)
     fleet.kill(fleet.nodes[MemberId("n4")])
     fleet.rounds(6)
     writers = [fleet.nodes[MemberId(name)] for name in ("n0", "n1")]
@@ -189,7 +189,7 @@
 def test_a_node_that_receives_nothing_does_not_remove_the_others(deaf: str) -> None:
     """One direction of a link fails: a node can send but receives nothing. By its own
     evidence all other members have failed, and it can reach the platform."""
-    fleet = started(5)
+    fleet = started_fleet(5)
     for other in fleet.nodes:
         fleet.blocked.add((other, MemberId(deaf)))
     fleet.rounds(8)
@@ -205,7 +205,7 @@
 
 def test_a_node_that_cannot_send_is_removed_if_two_domains_agree() -> None:
     """The other direction fails: a node receives all messages but cannot send."""
-    fleet = started(5)
+    fleet = started_fleet(5)
     for other in fleet.nodes:
         fleet.blocked.add((MemberId("n4"), other))
     fleet.rounds(8)
@@ -214,10 +214,10 @@
 
 
 def test_a_fleet_that_restarts_as_a_whole_settles_on_a_new_view() -> None:
-    fleet = started(5)
+    fleet = started_fleet(5)
     for index, node in enumerate(list(fleet.nodes.values())):
         fleet.kill(node)
-        fleet.start(f"n{index + 10}", node.me.peer_address)
+        fleet.start(f"n{index + 10}", node.own_member.peer_address)
     for _ in range(12):
         fleet.round()
         for node in fleet.awake():
--- a/tests/core/test_operations.py
+++ b/tests/core/test_operations.py
@@ -7,11 +7,12 @@
 import pytest
 
 from crocusspindle.core.fitness import Fitness
-from crocusspindle.core.operation_places import HolderHistory, holders
+from crocusspindle.core.operation_holders import HolderHistory, holders
 from crocusspindle.core.operation_records import (
     AlreadyRan,
     Attempt,
     Decision,
+    DecisionAuthority,
     FingerprintMismatch,
     Granted,
     LedgerMode,
@@ -19,7 +20,6 @@
     NotRunReason,
     OperationName,
     Record,
-    Right,
     RowOutcome,
     RowResult,
     UnknownReason,
@@ -28,15 +28,15 @@
 )
 from crocusspindle.core.operations import OperationLedger
 from crocusspindle.ids import AttemptId, CustomerId, MemberId, OperationKey, ViewNumber
-from tests.core.operations_market import ANSWER, DONE, LIMITS, LedgerSimulation
-from tests.core.small_fleet import Node, started
+from tests.core.ledger_simulation import ANSWER, DONE, LIMITS, LedgerSimulation
+from tests.core.small_fleet import Node, started_fleet
 
 
 class Scenario:
     """Run the operation of one key through a fixed sequence of events."""
 
     def __init__(self, joining_count: int = 0, faults: Sequence[str] = ()) -> None:
-        self.fleet = started(5, ledger_limits=LIMITS)
+        self.fleet = started_fleet(5, ledger_limits=LIMITS)
         self.simulation = LedgerSimulation(self.fleet)
         self.name = self.key_with_new_holders(joining_count)
         self.faults = list(faults)
@@ -61,7 +61,7 @@
     def join(self, count: int, writer: Node) -> None:
         for index in range(5, 5 + count):
             node = self.fleet.start(f"n{index}", str(index))
-            writer.membership.asks_to_join(node.me)
+            writer.membership.asks_to_join(node.own_member)
         assert self.fleet.propose(writer)
 
     def holders(self) -> list[Node]:
@@ -77,11 +77,11 @@
 
 def holder_pair_lost_to_new_members() -> int:
     scenario = Scenario(joining_count=8)
-    scenario.fleet.reach.clear()
+    scenario.fleet.reaching_platform.clear()
     scenario.fleet.rounds(6)
     previous = scenario.holders()[0]
     assert isinstance(scenario.order(previous), Granted)
-    scenario.fleet.reach = set(scenario.fleet.nodes)
+    scenario.fleet.reaching_platform = set(scenario.fleet.nodes)
     scenario.fleet.rounds(2)
     scenario.join(8, scenario.fleet.awake()[0])
     scenario.fleet.rounds(6)
@@ -97,17 +97,19 @@
 
 def platform_reached_by_few() -> int:
     scenario = Scenario(joining_count=8)
-    cut_off = {node.me.member for node in scenario.holders()}
-    others = [node for node in scenario.fleet.awake() if node.me.member not in cut_off]
-    cut_off.add(others[0].me.member)
-    scenario.fleet.part(cut_off)
-    scenario.fleet.reach -= cut_off
+    cut_off = {node.own_member.member for node in scenario.holders()}
+    others = [
+        node for node in scenario.fleet.awake() if node.own_member.member not in cut_off
+    ]
+    cut_off.add(others[0].own_member.member)
+    scenario.fleet.partition(cut_off)
+    scenario.fleet.reaching_platform -= cut_off
     scenario.fleet.rounds(6)
     previous = scenario.holders()[0]
     assert isinstance(scenario.order(previous), Granted)
     writer = others[1]
     scenario.join(8, writer)
-    scenario.fleet.part(cut_off)
+    scenario.fleet.partition(cut_off)
     scenario.fleet.rounds(6)
     scenario.order(scenario.holders()[0])
     return scenario.runs()
@@ -115,7 +117,7 @@
 
 def holder_killed_before_its_response() -> int:
     scenario = Scenario()
-    scenario.fleet.reach.clear()
+    scenario.fleet.reaching_platform.clear()
     scenario.fleet.rounds(6)
     first, second = scenario.holders()
     assert isinstance(scenario.order(first, "ok", "late"), Granted)
@@ -151,13 +153,13 @@
     for index in range(5, 13):
         leaving = scenario.fleet.nodes[MemberId(f"n{index}")]
         for node in scenario.fleet.awake():
-            node.membership.leaves(leaving.me.member)
+            node.membership.leaves(leaving.own_member.member)
         scenario.fleet.kill(leaving)
     assert scenario.fleet.propose(scenario.fleet.awake()[0])
     scenario.fleet.rounds(8)
     for node in scenario.fleet.awake():
         scenario.simulation.load(node)
-    scenario.fleet.reach.clear()
+    scenario.fleet.reaching_platform.clear()
     scenario.fleet.rounds(6)
     scenario.order(scenario.holders()[0])
     return scenario.runs()
@@ -226,14 +228,14 @@
     not run an operation alone, nor report a key as unused that the crashed holder may
     have run before its own records begin."""
     scenario = Scenario()
-    scenario.fleet.reach.clear()
+    scenario.fleet.reaching_platform.clear()
     scenario.fleet.rounds(6)
     first, second = scenario.holders()
     scenario.fleet.kill(first)
     decision = scenario.order(second)
     assert isinstance(decision, NotRun)
     assert decision.covers_earlier
-    new_member = HolderHistory(second.me.member, window_ms=1_000.0)
+    new_member = HolderHistory(second.own_member.member, window_ms=1_000.0)
     assert second.view is not None
     later_view = replace(second.view, number=ViewNumber(9))
     new_member.adopt(later_view, 0.0)
@@ -245,11 +247,11 @@
     """A process pauses between the grant and the dispatch of a payment and resumes an
     hour later, when the key's record may have expired."""
     limits = replace(LIMITS, max_records=1)
-    fleet = started(1, ledger_limits=limits)
+    fleet = started_fleet(1, ledger_limits=limits)
     node = fleet.awake()[0]
-    authority = Right(LedgerMode.TABLE, fleet.now(node) + 1_000.0)
+    authority = DecisionAuthority(LedgerMode.TABLE, fleet.now(node) + 1_000.0)
     names = [OperationName(CustomerId("club"), OperationKey(key)) for key in "ab"]
-    attempt = Attempt(node.me.member, AttemptId(1))
+    attempt = Attempt(node.own_member.member, AttemptId(1))
     now_ms = fleet.now(node)
     ledger = node.ledger
     assert isinstance(
--- a/tests/core/test_operations_machine.py
+++ b/tests/core/test_operations_machine.py
@@ -4,13 +4,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from crocusspindle.core.operation_places import holders
+from crocusspindle.core.operation_holders import holders
 from crocusspindle.core.operation_records import (
     OperationName,
 )
 from crocusspindle.ids import CustomerId, OperationKey
-from tests.core.operations_market import KEY_EPOCH_MS, LIMITS, LedgerSimulation
-from tests.core.small_fleet import Node, started
+from tests.core.ledger_simulation import KEY_EPOCH_MS, LIMITS, LedgerSimulation
+from tests.core.small_fleet import Node, started_fleet
 
 FAULTS = st.lists(
     st.sampled_from(["ok", "ok", "lost", "late", "pause", "release"]), max_size=4
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = started(4, ledger_limits=LIMITS)
+        self.fleet = started_fleet(4, ledger_limits=LIMITS)
         self.simulation = LedgerSimulation(self.fleet)
         self.started_count = 4
 
@@ -49,7 +49,7 @@
         self, key: int, second: bool, stale: bool, faults: list[str], prefer_peer: bool
     ) -> None:
         """Send a request to a holder under the newest or the oldest view in use."""
-        epoch = int(self.fleet.t_ms // KEY_EPOCH_MS)
+        epoch = int(self.fleet.time_ms // KEY_EPOCH_MS)
         name = OperationName(CustomerId("club"), OperationKey(f"{key}.{epoch}"))
         views = sorted({one.view.number for one in self.fleet.awake() if one.view})
         if not views:
@@ -72,39 +72,46 @@
             return
         if kind == "leave":
             for peer in self.fleet.awake():
-                peer.membership.leaves(old.me.member)
+                peer.membership.leaves(old.own_member.member)
         if kind in ("crash", "leave", "restart") and len(self.fleet.nodes) > 2:
             self.fleet.kill(old)
         if kind in ("join", "restart"):
             address = (
-                old.me.peer_address if kind == "restart" else str(self.started_count)
+                old.own_member.peer_address
+                if kind == "restart"
+                else str(self.started_count)
             )
             node = self.fleet.start(f"n{self.started_count}", address)
             self.started_count += 1
             for peer in self.fleet.awake():
-                peer.membership.asks_to_join(node.me)
+                peer.membership.asks_to_join(node.own_member)
         self.run_rounds(rounds)
 
     @rule(rounds=ROUNDS)
     def platform_for_all(self, rounds: int) -> None:
-        self.fleet.reach = set(self.fleet.nodes)
+        self.fleet.reaching_platform = set(self.fleet.nodes)
         self.run_rounds(rounds)
 
-    @rule(reach=st.sets(st.integers(0, 7), max_size=2), rounds=st.just(6) | ROUNDS)
-    def platform_for_few(self, reach: set[int], rounds: int) -> None:
-        self.fleet.reach = {self.pick(index).me.member for index in reach}
+    @rule(
+        reaching_platform=st.sets(st.integers(0, 7), max_size=2),
+        rounds=st.just(6) | ROUNDS,
+    )
+    def platform_for_few(self, reaching_platform: set[int], rounds: int) -> None:
+        self.fleet.reaching_platform = {
+            self.pick(index).own_member.member for index in reaching_platform
+        }
         self.run_rounds(rounds)
 
     @rule(rounds=st.just(6) | ROUNDS)
     def platform_for_nobody(self, rounds: int) -> None:
-        self.fleet.reach.clear()
+        self.fleet.reaching_platform.clear()
         self.run_rounds(rounds)
 
     @rule(group=st.sets(st.integers(0, 7), max_size=3), one_way=st.booleans())
     def cut(self, group: set[int], one_way: bool) -> None:
-        names = {self.pick(index).me.member for index in group}
+        names = {self.pick(index).own_member.member for index in group}
         self.fleet.blocked.clear()
-        self.fleet.part(names)
+        self.fleet.partition(names)
         if one_way:
             kept = {pair for pair in self.fleet.blocked if pair[0] in names}
             self.fleet.blocked = kept
--- a/tests/core/test_tickets.py
+++ b/tests/core/test_tickets.py
@@ -22,8 +22,8 @@
     SubmissionOutcome,
     SubmissionStep,
     TicketLog,
+    check_references,
     in_force,
-    references_check,
 )
 from crocusspindle.errors import TicketConflictError, TicketError
 from crocusspindle.ids import (
@@ -155,9 +155,9 @@
 
 def test_references_to_unconfigured_items_are_reported() -> None:
     parsed = parse_ticket(DOCUMENT, "17.yaml")
-    assert not references_check(parsed, DirectoryStub(customers=["club-b"]))
+    assert not check_references(parsed, DirectoryStub(customers=["club-b"]))
     incomplete = replace(parsed, set=replace(parsed.set, customers=(), services=()))
-    paths = {finding.path for finding in references_check(incomplete, DirectoryStub())}
+    paths = {finding.path for finding in check_references(incomplete, DirectoryStub())}
     assert paths == {
         f"keys.{DIGEST}",
         "routes./katalog/",
@@ -175,7 +175,7 @@
         f"keys: {{{DIGEST}: {{customer: club-a, state: active}}}}\n",
         "1.yaml",
     )
-    found = [finding.path for finding in references_check(parsed, directory)]
+    found = [finding.path for finding in check_references(parsed, directory)]
     assert found == [f"keys.{DIGEST}", "services.katalog"]
 
 
