--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -17,8 +17,8 @@
 import matplotlib
 
 from benchmarks.directory import in_fresh_process
-from crocusspindle.core.fitness import Fitness
-from crocusspindle.core.groups import cut
+from crocusspindle.core.eligibility import Eligibility
+from crocusspindle.core.groups import partition_targets
 from crocusspindle.core.members import (
     Membership,
     MemberView,
@@ -190,13 +190,13 @@
     def adopt() -> None:
         Membership(members[0]).adopt(decode_view(encoded), 0.0)
 
-    fitness = Fitness(names[0])
+    fitness = Eligibility(names[0])
     fitness.adopt(view, 0.0)
-    fitness.stamp(0.0)
+    fitness.record_read(0.0)
 
     def echo_all() -> None:
         for name in names[1:]:
-            fitness.echo(name, view.number, 1.0)
+            fitness.record_echo(name, view.number, 1.0)
 
     clock_ms = iter(range(1_000, 1_000_000, 1_000))
     keys = [f"service-{number}".encode() for number in range(KEYS)]
@@ -227,7 +227,7 @@
 
     def cut_all() -> None:
         for service, targets in lists.items():
-            cut(service, targets)
+            partition_targets(service, targets)
 
     size = sum(len(target) + 40 for targets in lists.values() for target in targets)
     return TargetPoint(count, round(_took_ms(cut_all, 3), 2), size)
--- a/benchmarks/shares_fleet.py
+++ b/benchmarks/shares_fleet.py
@@ -8,7 +8,6 @@
 from random import Random
 from typing import Final
 
-from crocusspindle.core.held import ShareSettings
 from crocusspindle.core.holders import ViewMember
 from crocusspindle.core.loans import (
     MAX_GATHERS,
@@ -18,6 +17,7 @@
     SpendResult,
     Spent,
 )
+from crocusspindle.core.local_shares import ShareSettings
 from crocusspindle.core.model import Customer
 from crocusspindle.core.shares import TOP_UP_MS, ShareLedger
 from crocusspindle.ids import CustomerId, DomainId, MemberId, ViewNumber
@@ -228,7 +228,7 @@
     def _take_over(self, now_ms: float) -> None:
         for ledger in self.ledgers.values():
             for lost in self.dead:
-                ledger.gone(lost, now_ms)
+                ledger.take_over_from(lost, now_ms)
 
     def ask(self, now_ms: float, entry: MemberId) -> None:
         """Let a request arrive."""
@@ -300,11 +300,11 @@
 
         def credit(back_ms: float, loan: Loan) -> None:
             ledger = self.ledgers[asked.lender]
-            ledger.topped_up(name, loan, source, now_ms, back_ms)
+            ledger.credit_loan(name, loan, source, now_ms, back_ms)
             self._lend(back_ms, replace(asked, gathered=asked.gathered + 1))
 
         def lose(back_ms: float) -> None:
-            self.ledgers[asked.lender].unanswered(name, source, back_ms)
+            self.ledgers[asked.lender].record_timeout(name, source, back_ms)
             self._lend(back_ms, replace(asked, gathered=asked.gathered + 1))
 
         if source in self.dead:
@@ -327,18 +327,18 @@
             loan = self.ledgers[lender].lend(name, answer.missing, math.inf, at_ms)
             self.later(
                 at_ms + HOP_MS,
-                lambda back_ms: topped_up(back_ms, loan),
+                lambda back_ms: credit_loan(back_ms, loan),
             )
 
-        def topped_up(back_ms: float, loan: Loan) -> None:
-            self.ledgers[holder].topped_up(name, loan, lender, now_ms, back_ms)
+        def credit_loan(back_ms: float, loan: Loan) -> None:
+            self.ledgers[holder].credit_loan(name, loan, lender, now_ms, back_ms)
             self._top_up_later(back_ms, holder)
 
         self.later(now_ms + HOP_MS, lend)
 
     def _credit(self, now_ms: float, asked: Question, loan: Loan) -> None:
         name = self.customer.customer
-        answer = self.ledgers[asked.entry].borrowed(
+        answer = self.ledgers[asked.entry].credit_and_spend(
             name, loan, asked.lender, asked.asked_ms, now_ms
         )
         self._settle(now_ms, asked, answer)
--- a/src/crocusspindle/core/bucket.py
+++ b/src/crocusspindle/core/bucket.py
@@ -163,7 +163,7 @@
             self.value = max(0.0, self.value - self.decay_per_ms * decaying_ms)
 
 
-class LoanPot:
+class LoanPool:
     """Hold tokens borrowed by a node that holds no share of the customer.
 
     The lenders refill while these tokens are kept here, so each loan loses, after its
--- a/src/crocusspindle/core/customer_table.py
+++ b/src/crocusspindle/core/customer_table.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from crocusspindle.core.model import Customer
-from crocusspindle.core.packed import RecordTable
+from crocusspindle.core.record_table import RecordTable
 from crocusspindle.ids import CustomerId
 
 MAX_ID_BYTES: Final = 255
--- a/src/crocusspindle/core/directory.py
+++ b/src/crocusspindle/core/directory.py
@@ -24,7 +24,7 @@
     Route,
     Service,
 )
-from crocusspindle.core.packed import RecordTable
+from crocusspindle.core.record_table import RecordTable
 from crocusspindle.core.routes import RouteTable
 from crocusspindle.errors import Finding, TicketError
 from crocusspindle.ids import CustomerId, KeyDigest, ServiceId
--- a/src/crocusspindle/core/directory_dump.py
+++ b/src/crocusspindle/core/directory_dump.py
@@ -17,7 +17,7 @@
 
 from crocusspindle.core.directory import Directory
 from crocusspindle.core.model import Route, Service
-from crocusspindle.core.packed import BUCKETS, RecordTable
+from crocusspindle.core.record_table import BUCKETS, RecordTable
 from crocusspindle.errors import Finding, InvalidInputError
 
 MAGIC: Final = "crocusspindle-directory"
--- a/src/crocusspindle/core/fitness.py
+++ b/src/crocusspindle/core/eligibility.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FitnessLimits:
+class EligibilityLimits:
     """Hold the time limits of the two rules.
 
     ``freshness_ms`` bounds how long a withdrawn key may work on an isolated node, and
@@ -45,20 +45,20 @@
     refresh_ms: float = 250.0
 
     @property
-    def lapse_ms(self) -> float:
+    def expiry_ms(self) -> float:
         """Return the wait from the confirmation of a view until its rights begin."""
         return self.contact_ms * 1.05
 
 
-class FitnessReason(Enum):
+class EligibilityReason(Enum):
     """Name the rule by which a node is eligible, or what it lacks."""
 
-    STAMP = "fresh stamp"
+    FRESH_TIMESTAMP = "fresh stamp"
     MAJORITY = "platform away, in contact with a majority"
     NO_VIEW = "platform away, not in an agreed member view"
     UNCONFIRMED_VIEW = "platform away, too few members know the view"
     NO_MAJORITY = "platform away, no contact with a majority"
-    NO_STAMP = "no fresh stamp, no sign that the platform is away"
+    NO_FRESH_TIMESTAMP = "no fresh stamp, no sign that the platform is away"
 
 
 @dataclass(slots=True)
@@ -88,13 +88,15 @@
     reachable_ms: float = NEVER
 
 
-class Fitness:
+class Eligibility:
     """Hold one node's evidence that it is not isolated."""
 
-    def __init__(self, member: MemberId, limits: FitnessLimits | None = None) -> None:
+    def __init__(
+        self, member: MemberId, limits: EligibilityLimits | None = None
+    ) -> None:
         self.member = member
         self.applied = TicketNumber(0)
-        self._limits = limits or FitnessLimits()
+        self._limits = limits or EligibilityLimits()
         self._view: MemberView | None = None
         self._member_ids: frozenset[MemberId] = frozenset()
         self._relevant_members: set[MemberId] = set()
@@ -130,25 +132,27 @@
         self._contacts = kept_contacts
         self._is_unreachable = False
         # Own outages are reported for longer: a peer's view may be several behind.
-        still_relevant = {at for at in self._outage_views if at >= view.oldest_former}
+        still_relevant = {
+            at for at in self._outage_views if at >= view.oldest_previous_view
+        }
         self._outage_views = still_relevant | set(self._own_outage_views)
         self._refresh_at_ms = NEVER
         return True
 
-    def stamp(self, read_began_ms: float) -> None:
+    def record_read(self, read_began_ms: float) -> None:
         """Record a complete read of the ticket log's tail that began at a time.
 
         Call it only after the tickets of that read are applied.
         """
         self._timestamp_ms = max(self._timestamp_ms, read_began_ms)
 
-    def relayed(self, requested_at_ms: float, age_ms: float) -> None:
+    def record_relayed_read(self, requested_at_ms: float, age_ms: float) -> None:
         """Record a peer's freshness timestamp, given its age when the peer replied.
 
         The age counts back from when this node sent its request, which can only make
         the timestamp older, so clocks need not agree and a delayed reply gains nothing.
         """
-        self.stamp(requested_at_ms - max(age_ms, 0.0))
+        self.record_read(requested_at_ms - max(age_ms, 0.0))
 
     def stamp_age_ms(self, now_ms: float) -> float | None:
         """Return the age of the freshness timestamp for peers, None without one."""
@@ -162,7 +166,7 @@
         """
         self._platform_failed_ms = max(self._platform_failed_ms, at_ms)
 
-    def echo(
+    def record_echo(
         self,
         member: MemberId,
         view_number: ViewNumber,
@@ -183,7 +187,7 @@
             return
         self._record_seen_view(member, view_number)
         if self._view is not None:
-            oldest = self._view.oldest_former
+            oldest = self._view.oldest_previous_view
             self._outage_views.update(at for at in away_views if at >= oldest)
         if member not in self._member_ids:
             return
@@ -199,15 +203,15 @@
         if old_contact is None or self._may_shorten(old_contact, new_contact):
             self._refresh_at_ms = NEVER
 
-    def fit_until_ms(self, now_ms: float) -> float:
+    def eligible_until_ms(self, now_ms: float) -> float:
         """Return the deadline until which this node is eligible, -inf if it is not."""
-        return max(self.stamp_until_ms(), self.majority_until_ms(now_ms))
+        return max(self.fresh_until_ms(), self.majority_until_ms(now_ms))
 
-    def is_fit(self, now_ms: float) -> bool:
+    def is_eligible(self, now_ms: float) -> bool:
         """Return True if this node may take new work now."""
-        return now_ms < self.fit_until_ms(now_ms)
+        return now_ms < self.eligible_until_ms(now_ms)
 
-    def stamp_until_ms(self) -> float:
+    def fresh_until_ms(self) -> float:
         """Return the deadline of rule 1."""
         return self._timestamp_ms + self._limits.freshness_ms
 
@@ -229,7 +233,7 @@
         Access to the platform is not enough: a ticket written by a node that is not in
         contact with a majority would stay unknown to nodes eligible by rule 2.
         """
-        return min(self.stamp_until_ms(), self.contact_until_ms(now_ms))
+        return min(self.fresh_until_ms(), self.contact_until_ms(now_ms))
 
     def table_until_ms(self, now_ms: float) -> float:
         """Return the deadline until which the platform's table may decide operations.
@@ -241,7 +245,7 @@
         reachable_ms = self._current_deadlines(now_ms).reachable_ms
         if not self.confirmed(now_ms):
             return NEVER
-        return min(self.stamp_until_ms(), reachable_ms)
+        return min(self.fresh_until_ms(), reachable_ms)
 
     def peer_until_ms(self, now_ms: float) -> float:
         """Return the deadline until which two peers' memory may decide operations.
@@ -252,7 +256,8 @@
         if not self._is_current_view_settled(now_ms):
             return NEVER
         return min(
-            self.fit_until_ms(now_ms), self._current_deadlines(now_ms).unreachable_ms
+            self.eligible_until_ms(now_ms),
+            self._current_deadlines(now_ms).unreachable_ms,
         )
 
     def away(self, now_ms: float) -> bool:
@@ -294,7 +299,7 @@
             for pending in self._pending_views
         )
 
-    def majority_at(self, view_number: ViewNumber, now_ms: float) -> bool:
+    def is_settled(self, view_number: ViewNumber, now_ms: float) -> bool:
         """Return True if no right by an earlier view can still be in use.
 
         A takeover by a view (of rate shares or operation records) waits for this: a
@@ -304,26 +309,26 @@
         self._refresh(now_ms)
         return view_number <= self._settled_view
 
-    def reason(self, now_ms: float) -> FitnessReason:
+    def reason(self, now_ms: float) -> EligibilityReason:
         """Return the rule by which this node is eligible, or what it lacks."""
         if self._has_fresh_timestamp(now_ms):
-            return FitnessReason.STAMP
-        if self.is_fit(now_ms):
-            return FitnessReason.MAJORITY
+            return EligibilityReason.FRESH_TIMESTAMP
+        if self.is_eligible(now_ms):
+            return EligibilityReason.MAJORITY
         if now_ms >= self._unreachable_until_ms:
-            return FitnessReason.NO_STAMP
+            return EligibilityReason.NO_FRESH_TIMESTAMP
         if self._view is None or self.member not in self._member_ids:
-            return FitnessReason.NO_VIEW
+            return EligibilityReason.NO_VIEW
         if not self._is_current_view_settled(now_ms):
-            return FitnessReason.UNCONFIRMED_VIEW
-        return FitnessReason.NO_MAJORITY
+            return EligibilityReason.UNCONFIRMED_VIEW
+        return EligibilityReason.NO_MAJORITY
 
     @property
     def _unreachable_until_ms(self) -> float:
         return self._platform_failed_ms + self._limits.failing_ms
 
     def _has_fresh_timestamp(self, now_ms: float) -> bool:
-        return now_ms < self.stamp_until_ms()
+        return now_ms < self.fresh_until_ms()
 
     def _record_seen_view(self, member: MemberId, view_number: ViewNumber) -> None:
         if view_number > self._seen_views.get(member, 0):
@@ -337,7 +342,7 @@
         )
 
     def _is_current_view_settled(self, now_ms: float) -> bool:
-        return self._view is not None and self.majority_at(self._view.number, now_ms)
+        return self._view is not None and self.is_settled(self._view.number, now_ms)
 
     def _previous_members(self) -> set[MemberId]:
         previous_views = (
@@ -357,7 +362,7 @@
             ):
                 # Without a previous view no right has to expire.
                 pending.confirmed_ms = now_ms if previous_views else NEVER
-            expired_ms = now_ms - self._limits.lapse_ms
+            expired_ms = now_ms - self._limits.expiry_ms
             if pending.confirmed_ms is not None and pending.confirmed_ms <= expired_ms:
                 self._settled_view = max(self._settled_view, pending.view.number)
         self._pending_views = [
--- a/src/crocusspindle/core/groups.py
+++ b/src/crocusspindle/core/groups.py
@@ -42,7 +42,9 @@
         return _key(self.service, self.number)
 
 
-def cut(service: ServiceId, targets: Iterable[TargetId]) -> tuple[Group, ...]:
+def partition_targets(
+    service: ServiceId, targets: Iterable[TargetId]
+) -> tuple[Group, ...]:
     """Return the groups of a service, the same on every node with the same list.
 
     Hosts are replaced all day. If each replacement changed coordinators, their queues
@@ -83,7 +85,7 @@
         self._loads: dict[Group, HomeLoad] = {}
         self._sent: dict[Group, int] = {}
 
-    def note(self, group: Group, load: HomeLoad) -> None:
+    def update_load(self, group: Group, load: HomeLoad) -> None:
         """Record the load that a reply of the group's coordinator reported."""
         self._loads[group] = load
         self._sent[group] = 0
--- a/src/crocusspindle/core/health.py
+++ b/src/crocusspindle/core/health.py
@@ -28,7 +28,7 @@
     TargetHealth,
 )
 from crocusspindle.core.model import Target, TargetState
-from crocusspindle.core.peers import PeerComparison
+from crocusspindle.core.peer_comparison import PeerComparison
 from crocusspindle.core.target_record import TargetRecord
 from crocusspindle.ids import TargetId
 
@@ -212,7 +212,7 @@
         # Compare with the peers a few times a second rather than per request.
         record.evaluate_after_ms = now_ms + self._settings.trial_interval_ms
         evidence = self._peers.summary(record)
-        if not self._peers.stands_out(record, now_ms):
+        if not self._peers.is_outlier(record, now_ms):
             return self._suspect_group(evidence, now_ms)
         if evidence.cause is not Cause.SILENCE:
             return self._eject(record, now_ms)
@@ -228,7 +228,7 @@
         self, record: TargetRecord, now_ms: float
     ) -> list[HealthChange]:
         evidence = self._peers.summary(record)
-        if self._peers.most_doubtful():
+        if self._peers.most_suspected():
             return self._suspect_group(evidence, now_ms)
         return self._request_opinion(record, evidence, now_ms)
 
@@ -264,7 +264,7 @@
         # coordinator would only lose the evidence.
         if evidence.cause is Cause.ERRORS or now_ms < self._group_suspect_after_ms:
             return []
-        if not self._peers.most_doubtful():
+        if not self._peers.most_suspected():
             return []
         interval_ms = self._settings.report_interval_ms
         self._group_suspect_after_ms = now_ms + interval_ms
@@ -285,7 +285,7 @@
         if now_ms < record.opinion_due_ms:
             return []
         changes: list[HealthChange] = []
-        if record.reached_elsewhere and self._peers.is_cut_off(record):
+        if record.reached_elsewhere and self._peers.is_unreachable(record):
             changes.append(GroupSuspect(replace(evidence, cause=Cause.PATH)))
         return changes + self._eject(record, now_ms)
 
--- a/src/crocusspindle/core/placements.py
+++ b/src/crocusspindle/core/holder_cache.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from crocusspindle.core.holders import Placement, ViewMember, holder_count
+from crocusspindle.core.holders import HolderSelector, ViewMember, holder_count
 from crocusspindle.core.model import Customer
 from crocusspindle.core.rendezvous import score
 from crocusspindle.ids import CustomerId, DomainId, MemberId
@@ -28,19 +28,21 @@
     same_domains: bool
 
 
-class Placements:
+class HolderCache:
     """Find the holders of customers in the newest view."""
 
     def __init__(self) -> None:
         self._members: frozenset[ViewMember] = frozenset()
         self._domain_of: dict[MemberId, DomainId] = {}
-        self._placement = Placement(())
+        self._placement = HolderSelector(())
         self._domains = 0
         self._changes: deque[_Change] = deque(maxlen=MAX_CHANGES)
         self._version = 0
         self._cached: dict[CustomerId, tuple[int, int, tuple[MemberId, ...]]] = {}
 
-    def install(self, members: tuple[ViewMember, ...], placement: Placement) -> None:
+    def install(
+        self, members: tuple[ViewMember, ...], placement: HolderSelector
+    ) -> None:
         """Apply the members of a newer view."""
         members_now = frozenset(members)
         domain_of = {member.member: member.domain for member in members}
--- a/src/crocusspindle/core/holders.py
+++ b/src/crocusspindle/core/holders.py
@@ -52,7 +52,7 @@
     return min(desired, MAX_HOLDERS, burst)
 
 
-class Placement:
+class HolderSelector:
     """Find holders among the members of one view."""
 
     def __init__(self, members: Iterable[ViewMember]) -> None:
@@ -100,4 +100,4 @@
     members: Sequence[ViewMember],
 ) -> tuple[MemberId, ...]:
     """Return the holders of a customer's equal shares."""
-    return Placement(members).holders(customer, holder_count(rate_per_s, burst))
+    return HolderSelector(members).holders(customer, holder_count(rate_per_s, burst))
--- a/src/crocusspindle/core/lenders.py
+++ b/src/crocusspindle/core/lenders.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from crocusspindle.core.bucket import LoanPot
+from crocusspindle.core.bucket import LoanPool
 from crocusspindle.core.loans import Borrow
 from crocusspindle.core.rendezvous import score
 from crocusspindle.ids import MemberId
@@ -35,7 +35,7 @@
 seconds at 1/s. Only the first holder in order keeps its own, so one request completes.
 """
 
-MIN_REFUSED_MS: Final = 15.0
+MIN_REFUSAL_BACKOFF_MS: Final = 15.0
 """Minimum backoff after a lender refused a loan.
 
 Otherwise the requests of a burst that drains all shares at once would circulate among
@@ -88,7 +88,7 @@
 
     def __init__(self) -> None:
         self._notes: dict[MemberId, LenderState] = {}
-        self.loan_pool = LoanPot()
+        self.loan_pool = LoanPool()
         self.top_up_at_ms = -math.inf
         self.collects_until_ms = -math.inf
 
@@ -97,7 +97,7 @@
     ) -> None:
         """Record a reply; ``refused_ms`` is how long the lender expects no token."""
         if refused_ms > 0.0:
-            refused_ms = max(refused_ms, MIN_REFUSED_MS)
+            refused_ms = max(refused_ms, MIN_REFUSAL_BACKOFF_MS)
         self._notes[lender] = LenderState(
             available, now_ms, now_ms, now_ms + refused_ms
         )
--- a/src/crocusspindle/core/loans.py
+++ b/src/crocusspindle/core/loans.py
@@ -73,11 +73,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unfit:
+class Ineligible:
     """Refuse the request as not run: this node may be isolated."""
 
 
-SpendResult: TypeAlias = Spent | Borrow | OverRate | Unfit
+SpendResult: TypeAlias = Spent | Borrow | OverRate | Ineligible
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/crocusspindle/core/held.py
+++ b/src/crocusspindle/core/local_shares.py
@@ -6,10 +6,10 @@
 from typing import Final
 
 from crocusspindle.core.bucket import ShareBucket
-from crocusspindle.core.holders import Placement, ViewMember, holder_count
+from crocusspindle.core.holder_cache import HolderCache
+from crocusspindle.core.holders import HolderSelector, ViewMember, holder_count
 from crocusspindle.core.loans import MAX_GRACE_MS
 from crocusspindle.core.model import Customer
-from crocusspindle.core.placements import Placements
 from crocusspindle.ids import CustomerId, MemberId, ViewNumber
 
 MAX_REMOVED_CUSTOMERS: Final = 4_096
@@ -43,12 +43,12 @@
 class _View:
     number: ViewNumber
     members: tuple[ViewMember, ...]
-    placement: Placement
+    placement: HolderSelector
     opens_at_ms: float = float("inf")
 
 
 @dataclass(slots=True)
-class HeldShare:
+class LocalShare:
     """Hold one share, since which view it is held, and the number of holders."""
 
     bucket: ShareBucket
@@ -57,7 +57,7 @@
     count: int
 
 
-class HeldShares:
+class LocalShares:
     """Determine the holders of each customer, and open and resize own shares.
 
     ``limit_of`` looks a customer up in the directory; without it the limits passed to
@@ -78,15 +78,15 @@
         self._removed_ms: OrderedDict[CustomerId, float] = OrderedDict()
         self._forgotten_removed_ms = -float("inf")
         self._views: deque[_View] = deque(maxlen=MAX_KEPT_VIEWS)
-        self._placements = Placements()
-        self._local_shares: dict[CustomerId, HeldShare] = {}
+        self._placements = HolderCache()
+        self._local_shares: dict[CustomerId, LocalShare] = {}
 
     @property
     def view_number(self) -> ViewNumber | None:
         """Return the newest view, if there is one."""
         return self._views[-1].number if self._views else None
 
-    def shares(self) -> dict[CustomerId, HeldShare]:
+    def shares(self) -> dict[CustomerId, LocalShare]:
         """Return the shares in use."""
         return self._local_shares
 
@@ -123,7 +123,7 @@
         self._resize(local_share, customer, len(holders), now_ms)
 
     def _resize(
-        self, local_share: HeldShare, limit: Customer, count: int, now_ms: float
+        self, local_share: LocalShare, limit: Customer, count: int, now_ms: float
     ) -> None:
         """Shrink a share at once; delay growth while replaced holders may spend."""
         raise_at_ms = local_share.bucket.raise_at_ms or now_ms
@@ -163,7 +163,7 @@
         cap, rate_per_ms = self.share(customer, count)
         tokens = cap if opens_full and opens_at_ms <= now_ms else 0.0
         bucket = ShareBucket(cap, rate_per_ms, opens_at_ms, tokens)
-        local_share = HeldShare(bucket, view.number, opens_at_ms, count)
+        local_share = LocalShare(bucket, view.number, opens_at_ms, count)
         self._local_shares[customer.customer] = local_share
 
     def set_view(
@@ -180,11 +180,11 @@
         if self._views and view_number != self._views[-1].number + 1:
             self._views.clear()
             self._local_shares.clear()
-        self._install(_View(view_number, tuple(members), Placement(members)))
+        self._install(_View(view_number, tuple(members), HolderSelector(members)))
         for name, local_share in list(self._local_shares.items()):
             self._update_share(name, local_share, now_ms)
 
-    def gone(self, member: MemberId, now_ms: float) -> None:
+    def take_over_from(self, member: MemberId, now_ms: float) -> None:
         """Let the next member in order take over a lost member's shares.
 
         This lasts until the next view. While the platform is unreachable, the view
@@ -202,11 +202,11 @@
         if len(kept) == len(view.members):
             return
         opens_at_ms = max(view.opens_at_ms, now_ms + self._settings.wait_ms)
-        self._install(_View(view.number, kept, Placement(kept), opens_at_ms))
+        self._install(_View(view.number, kept, HolderSelector(kept), opens_at_ms))
         for name, local_share in list(self._local_shares.items()):
             self._update_share(name, local_share, now_ms)
 
-    def lapse(self, now_ms: float) -> None:
+    def expire_shares(self, now_ms: float) -> None:
         """Restart every share empty, after this member was not eligible.
 
         Another member may have taken over meanwhile and not know yet that it must stop.
@@ -224,7 +224,7 @@
         self._placements.install(view.members, view.placement)
 
     def _update_share(
-        self, name: CustomerId, local_share: HeldShare, now_ms: float
+        self, name: CustomerId, local_share: LocalShare, now_ms: float
     ) -> None:
         limit = self.limit_of(name)
         holders = self.holders(limit) if limit else ()
@@ -280,7 +280,7 @@
             self._local_shares[limit.customer] = local_share
         return local_share.bucket if now_ms >= local_share.opens_at_ms else None
 
-    def _open_on_first_use(self, limit: Customer, count: int) -> HeldShare:
+    def _open_on_first_use(self, limit: Customer, count: int) -> LocalShare:
         """Open a share at its first request, as of the oldest view that assigns it."""
         since = self._views[-1]
         for view in reversed(self._views):
@@ -291,4 +291,4 @@
             since = view
         cap, rate_per_ms = self.share(limit, count)
         bucket = ShareBucket(cap, rate_per_ms, since.opens_at_ms)
-        return HeldShare(bucket, since.number, since.opens_at_ms, count)
+        return LocalShare(bucket, since.number, since.opens_at_ms, count)
--- a/src/crocusspindle/core/members.py
+++ b/src/crocusspindle/core/members.py
@@ -79,7 +79,7 @@
         return max((outage.ended_unix_ms for outage in self.outages), default=None)
 
     @property
-    def oldest_former(self) -> ViewNumber:
+    def oldest_previous_view(self) -> ViewNumber:
         """Return the oldest view by which members may still act.
 
         Outages under older views were known to the writer of this view, which contains
@@ -187,17 +187,17 @@
             raise ValueError("witness_ms must be below silence_ms")
 
 
-class ProposalBar(Enum):
+class NoProposalReason(Enum):
     """Name the reason why a node proposes no view."""
 
-    UNFIT = "unfit"
+    INELIGIBLE = "unfit"
     NOTHING_TO_CHANGE = "nothing to change"
     BATCHING = "batching"
     UNCONFIRMED = "unconfirmed"
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ProposerState:
     """Hold the state of a node that proposes a view.
 
     ``eligible`` means rule 1 (a fresh timestamp), ``in_majority`` two-way contact with
@@ -205,7 +205,7 @@
     ``Eligibility.confirmed``.
     """
 
-    fit: bool
+    eligible: bool
     in_majority: bool
     confirmed: bool
 
@@ -254,7 +254,7 @@
             self._joining.pop(name, None)
         return diff(base, view)
 
-    def heard(self, member: MemberId, at_ms: float) -> None:
+    def record_message(self, member: MemberId, at_ms: float) -> None:
         """Record a message from a member, which clears all reports of its silence."""
         evidence = self._evidence.get(member)
         if evidence is None or at_ms < evidence.last_received_ms:
@@ -262,7 +262,7 @@
         evidence.last_received_ms = at_ms
         evidence.witnesses.clear()
 
-    def silent_elsewhere(
+    def record_silence_report(
         self, member: MemberId, witness: MemberId, at_ms: float
     ) -> None:
         """Record another node's report that a member is silent for ``silence_ms``."""
@@ -270,12 +270,12 @@
         if evidence is not None and witness != member:
             evidence.witnesses[witness] = at_ms
 
-    def asks_to_join(self, member: ViewMember) -> None:
+    def record_join_request(self, member: ViewMember) -> None:
         """Record that a newly started node requests to join the view."""
         if self.view is None or self.view.find(member.member) is None:
             self._joining[member.member] = member
 
-    def leaves(self, member: MemberId) -> None:
+    def record_leave(self, member: MemberId) -> None:
         """Record a member's announcement that it takes no new work and stops."""
         self._leaving.add(member)
 
@@ -290,11 +290,11 @@
 
     def propose(
         self,
-        state: Standing,
+        state: ProposerState,
         now_ms: float,
         now_unix_ms: int,
         outages: Collection[Outage] = (),
-    ) -> MemberView | ProposalBar:
+    ) -> MemberView | NoProposalReason:
         """Return the next view for a conditional write, or why there is none.
 
         A join, or a leave announced by the member, needs only a fresh timestamp: no
@@ -302,8 +302,8 @@
         two-way contact with a majority and a confirmed view, or the two sides of a
         network partition could remove each other.
         """
-        if not state.fit:
-            return ProposalBar.UNFIT
+        if not state.eligible:
+            return NoProposalReason.INELIGIBLE
         current = self.view or MemberView(ViewNumber(0), ())
         joining = self._members_to_join(current)
         gone = self._stopped(current, joining)
@@ -311,12 +311,12 @@
         if state.in_majority and state.confirmed:
             removed |= self._confirmed_silent(current, now_ms)
         if not joining and not removed and not self._has_new_outages(current, outages):
-            return ProposalBar.NOTHING_TO_CHANGE
+            return NoProposalReason.NOTHING_TO_CHANGE
         if now_ms < self._adopted_at_ms + self._limits.batch_ms and self.view:
-            return ProposalBar.BATCHING
+            return NoProposalReason.BATCHING
         formers = self._previous_views(current, state.confirmed)
         if len(formers) > MAX_PREVIOUS_VIEWS:
-            return ProposalBar.UNCONFIRMED
+            return NoProposalReason.UNCONFIRMED
         carried = frozenset[MemberId]() if state.confirmed else current.gone
         return MemberView(
             ViewNumber(current.number + 1),
@@ -397,7 +397,7 @@
         relevant = (
             candidate
             for candidate in outages
-            if candidate.view >= current.oldest_former
+            if candidate.view >= current.oldest_previous_view
         )
         return any(outage.view not in known for outage in relevant)
 
@@ -408,7 +408,7 @@
         relevant = [
             candidate
             for candidate in outages
-            if candidate.view >= current.oldest_former
+            if candidate.view >= current.oldest_previous_view
         ]
         merged = {outage.view: outage for outage in (*relevant, *current.outages)}
         kept = (
--- a/src/crocusspindle/core/operation_holders.py
+++ b/src/crocusspindle/core/operation_holders.py
@@ -145,7 +145,7 @@
         self, view: ViewNumber, members: Iterable[MemberId] | None = None
     ) -> None:
         """Record an outage under a view; members default to the stored member list."""
-        within_history = self.view is None or view >= self.view.oldest_former
+        within_history = self.view is None or view >= self.view.oldest_previous_view
         if self._outages.get(view) is not None or not (
             within_history or members is not None
         ):
@@ -211,7 +211,7 @@
             self.note_outage(number)
         # An older outage that the view does not list is past every key's window.
         kept = {past.view for past in view.outages}
-        kept.update(at for at in self._outages if at >= view.oldest_former)
+        kept.update(at for at in self._outages if at >= view.oldest_previous_view)
         self._outages = {
             at: members for at, members in self._outages.items() if at in kept
         }
--- a/src/crocusspindle/core/peers.py
+++ b/src/crocusspindle/core/peer_comparison.py
@@ -19,7 +19,7 @@
 """About 13 s: the slowest gray failure that justifies ejection is detected in less."""
 
 
-class RecentWork:
+class RecentAttempts:
     """Count the attempts of a whole group in short time bins.
 
     If a dependency shared by all targets fails, each target looks bad compared with
@@ -109,7 +109,7 @@
         self._settings = settings
         self._group = group
         self._group_reference = group_reference
-        self._recent = RecentWork()
+        self._recent = RecentAttempts()
 
     @property
     def _threshold_nats(self) -> float:
@@ -127,13 +127,13 @@
         """Return the evidence against a target, with its peers' latency."""
         return record.evidence.summary(self._latency_ms(record))
 
-    def stands_out(self, record: TargetRecord, now_ms: float) -> bool:
+    def is_outlier(self, record: TargetRecord, now_ms: float) -> bool:
         """Return True if a suspect is worse than its peers."""
         threshold_nats = self._threshold_nats
         own = record.evidence
         if own.silent_nats >= threshold_nats:
             # If most of a group falls silent at once, the coordinator's path fails.
-            return not self.most_doubtful()
+            return not self.most_suspected()
         if own.failures.nats >= threshold_nats and self._fails_more(own, now_ms):
             return True
         return own.slow_nats >= threshold_nats and self._is_slower(record, now_ms)
@@ -158,14 +158,14 @@
         contrast_nats = self._recent.latency_contrast(own, now_ms)
         return contrast_nats >= self._contrast_nats
 
-    def most_doubtful(self) -> bool:
+    def most_suspected(self) -> bool:
         """Return True if there is evidence against most targets in service."""
         serving = self._group.serving()
         clean_nats = self._settings.clean_nats
         suspected = sum(r.evidence.nats >= clean_nats for r in serving)
         return 2 * suspected > len(serving)
 
-    def is_cut_off(self, record: TargetRecord) -> bool:
+    def is_unreachable(self, record: TargetRecord) -> bool:
         """Return True if a target is silent or nearly all its attempts fail."""
         own = record.evidence
         if own.silent_nats >= self._threshold_nats:
--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -28,21 +28,21 @@
 from typing import Final
 
 from crocusspindle.core.bucket import ShareBucket
-from crocusspindle.core.held import HeldShares, ShareSettings
 from crocusspindle.core.holders import ViewMember
 from crocusspindle.core.lenders import Lenders, OtherHolders
 from crocusspindle.core.loans import (
     MAX_GRACE_MS,
     MIN_GRACE_MS,
     Borrow,
+    Ineligible,
     LedgerStatus,
     Loan,
     OverRate,
     ShareStatus,
     SpendResult,
     Spent,
-    Unfit,
 )
+from crocusspindle.core.local_shares import LocalShares, ShareSettings
 from crocusspindle.core.model import Customer
 from crocusspindle.ids import CustomerId, MemberId, ViewNumber
 
@@ -81,9 +81,9 @@
     ) -> None:
         self._settings = settings
         self._own_member = own_member
-        self._shares = HeldShares(settings, own_member, limit_of)
+        self._shares = LocalShares(settings, own_member, limit_of)
         self._lenders: OrderedDict[CustomerId, Lenders] = OrderedDict()
-        self._fit_until_ms = -float("inf")
+        self._eligible_until_ms = -float("inf")
 
     @classmethod
     def from_config(
@@ -124,33 +124,33 @@
         """Start the wait after which new shares open; see `LocalShares.activate`."""
         self._shares.activate(view_number, now_ms)
 
-    def gone(self, member: MemberId, now_ms: float) -> None:
+    def take_over_from(self, member: MemberId, now_ms: float) -> None:
         """Take over a lost member's shares in an outage of the platform.
 
         See `LocalShares.take_over_from`.
         """
-        self._shares.gone(member, now_ms)
+        self._shares.take_over_from(member, now_ms)
 
-    def lapse(self, now_ms: float) -> None:
+    def expire_shares(self, now_ms: float) -> None:
         """Reset all shares after this node was ineligible; see `LocalShares`."""
-        self._shares.lapse(now_ms)
+        self._shares.expire_shares(now_ms)
 
     def holders(self, customer: Customer) -> tuple[MemberId, ...]:
         """Return the holders of a customer, which callers are told to use."""
         return self._shares.holders(customer)
 
     def spend(
-        self, customer: CustomerId, fit_until_ms: float, now_ms: float
+        self, customer: CustomerId, eligible_until_ms: float, now_ms: float
     ) -> SpendResult:
         """Take one token for a request, or return which holders to borrow from."""
-        self._fit_until_ms = fit_until_ms
+        self._eligible_until_ms = eligible_until_ms
         return self._spend(customer, now_ms)
 
     def _spend(self, customer: CustomerId, now_ms: float) -> SpendResult:
         # The process may have been paused since the deadline was computed, so it is
         # checked at the moment at which the token is taken.
-        if now_ms > self._fit_until_ms:
-            return Unfit()
+        if now_ms > self._eligible_until_ms:
+            return Ineligible()
         limit = self._shares.limit_of(customer)
         if limit is None or limit.rate_per_s <= 0 or self._shares.view_number is None:
             return OverRate(now_ms + self._settings.lease_ms)
@@ -210,7 +210,7 @@
         """
         limit = self._shares.limit_of(customer)
         bucket = self._shares.open_bucket(limit, now_ms) if limit else None
-        if limit is None or bucket is None or now_ms > self._fit_until_ms:
+        if limit is None or bucket is None or now_ms > self._eligible_until_ms:
             return None
         lacking = min(missing, 1.0) - bucket.tokens(now_ms)
         if not 0.0 < lacking <= bucket.free(now_ms):
@@ -220,7 +220,11 @@
         return lenders.choose_for_holder(self._peers(limit), lacking, batch, now_ms)
 
     def lend(
-        self, customer: CustomerId, missing: float, fit_until_ms: float, now_ms: float
+        self,
+        customer: CustomerId,
+        missing: float,
+        eligible_until_ms: float,
+        now_ms: float,
     ) -> Loan:
         """Subtract tokens for another member and return them as a loan.
 
@@ -228,10 +232,10 @@
         that cannot complete them would be lost, and a customer that retries often
         would starve below its rate. Beyond that at most half is lent.
         """
-        self._fit_until_ms = fit_until_ms
+        self._eligible_until_ms = eligible_until_ms
         limit = self._shares.limit_of(customer)
         bucket = self._shares.open_bucket(limit, now_ms) if limit else None
-        if now_ms > fit_until_ms or limit is None or bucket is None:
+        if now_ms > eligible_until_ms or limit is None or bucket is None:
             return Loan(0.0, 0.0, self._settings.lease_ms)
         available = bucket.tokens(now_ms)
         nominal_per_s = bucket.rate_per_ms * 1000.0 / (1 - self._settings.drift)
@@ -262,7 +266,7 @@
         until_full_ms = (bucket.room() - tokens) / bucket.rate_per_ms
         return min(MAX_GRACE_MS, max(MIN_GRACE_MS, until_full_ms))
 
-    def borrowed(
+    def credit_and_spend(
         self,
         customer: CustomerId,
         loan: Loan,
@@ -275,7 +279,7 @@
         The loan is worth what its lender cannot have refilled since. The time counts
         from when the request was sent, because the loan was made after that.
         """
-        self.topped_up(customer, loan, lender, requested_at_ms, now_ms)
+        self.credit_loan(customer, loan, lender, requested_at_ms, now_ms)
         return self._spend(customer, now_ms)
 
     def top_up(self, customer: CustomerId, now_ms: float) -> Borrow | None:
@@ -292,7 +296,7 @@
         """
         limit = self._shares.limit_of(customer)
         bucket = self._shares.open_bucket(limit, now_ms) if limit else None
-        if limit is None or bucket is None or now_ms > self._fit_until_ms:
+        if limit is None or bucket is None or now_ms > self._eligible_until_ms:
             return None
         lenders = self._lenders_of(customer)
         if now_ms < lenders.top_up_at_ms:
@@ -309,7 +313,7 @@
         amount = min((estimates[lender] - own_tokens) / 2, bucket.free(now_ms))
         return Borrow((lender,), amount) if amount > 0.0 else None
 
-    def topped_up(
+    def credit_loan(
         self,
         customer: CustomerId,
         loan: Loan,
@@ -349,10 +353,12 @@
         now_ms: float,
     ) -> SpendResult:
         """Record a loan request without a reply and try the other lenders."""
-        self.unanswered(customer, lender, now_ms)
+        self.record_timeout(customer, lender, now_ms)
         return self._spend(customer, now_ms)
 
-    def unanswered(self, customer: CustomerId, lender: MemberId, now_ms: float) -> None:
+    def record_timeout(
+        self, customer: CustomerId, lender: MemberId, now_ms: float
+    ) -> None:
         """Record a loan request without a reply that no caller's request waits for."""
         self._lenders_of(customer).record_no_reply(lender, now_ms)
 
--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -139,7 +139,7 @@
         return {
             "node": control.me.member,
             "domain": control.me.domain,
-            "fit": control.is_fit(),
+            "fit": control.is_eligible(),
             "reason": control.fitness.reason(now).value,
             "stamp_age_ms": control.fitness.stamp_age_ms(now),
             "draining": control.draining,
@@ -159,7 +159,7 @@
 
     def _check_state(self, ticket: Ticket) -> None:
         """Check a ticket against the state before it; raise ``TicketError``."""
-        if not self._control.is_fit():
+        if not self._control.is_eligible():
             raise NotFitError(CUT_OFF, RETRY_MS)
         expected = self._control.log.applied + 1
         if ticket.number < expected:
@@ -293,7 +293,7 @@
                     "domain": member.domain,
                     "caller_address": member.caller_address,
                     "silent": not own and not self._peers.connected(member.member),
-                    "fit": self._control.is_fit()
+                    "fit": self._control.is_eligible()
                     if own
                     else standing is not None and standing.fit,
                     "draining": standing is not None and standing.draining,
--- a/src/crocusspindle/services/control.py
+++ b/src/crocusspindle/services/control.py
@@ -10,8 +10,8 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.core.directory import Directory
 from crocusspindle.core.directory_dump import load
-from crocusspindle.core.fitness import Fitness, FitnessLimits
-from crocusspindle.core.groups import Group, cut
+from crocusspindle.core.eligibility import Eligibility, EligibilityLimits
+from crocusspindle.core.groups import Group, partition_targets
 from crocusspindle.core.members import (
     Membership,
     MembershipLimits,
@@ -68,14 +68,14 @@
         self.me = me
         self.directory = Directory()
         self.log = TicketLog()
-        limits = FitnessLimits(
+        limits = EligibilityLimits(
             freshness_ms=timings.freshness_ms,
             contact_ms=max(
                 timings.heartbeat_ms * MISSED_CONTACTS, timings.freshness_ms
             ),
             failing_ms=timings.freshness_ms,
         )
-        self.fitness = Fitness(me.member, limits)
+        self.fitness = Eligibility(me.member, limits)
         self.membership = Membership(
             me,
             MembershipLimits(
@@ -128,13 +128,13 @@
         """Return the agreed member view, or None before the first one."""
         return self.membership.view
 
-    def fit_until_ms(self) -> float:
+    def eligible_until_ms(self) -> float:
         """Return the deadline up to which this node may take new work."""
-        return self.fitness.fit_until_ms(now_ms())
+        return self.fitness.eligible_until_ms(now_ms())
 
-    def is_fit(self) -> bool:
+    def is_eligible(self) -> bool:
         """Return True if this node may begin new work now."""
-        return now_ms() < self.fit_until_ms()
+        return now_ms() < self.eligible_until_ms()
 
     def key_active(self, credential: bytes) -> bool:
         """Return True if the key is still in use."""
@@ -178,7 +178,7 @@
             grouped.setdefault(target.service, []).append(target)
         self.targets = {service: tuple(members) for service, members in grouped.items()}
         self.groups = {
-            service: cut(service, (target.target for target in members))
+            service: partition_targets(service, (target.target for target in members))
             for service, members in grouped.items()
         }
         for call in self._on_targets:
@@ -186,7 +186,7 @@
 
     def stamped(self, read_began_ms: float) -> None:
         """Note a whole read of the platform whose content is applied."""
-        self.fitness.stamp(read_began_ms)
+        self.fitness.record_read(read_began_ms)
         self._failing = False
         self.note_fitness()
 
@@ -198,7 +198,7 @@
 
     def note_fitness(self) -> None:
         """Log when this node turns fit or unfit."""
-        fit = self.is_fit()
+        fit = self.is_eligible()
         if fit == self._was_fit:
             return
         self._was_fit = fit
@@ -210,7 +210,7 @@
         now = now_ms()
         age_ms = self.fitness.stamp_age_ms(now)
         view = self.view
-        fit = now < self.fitness.fit_until_ms(now)
+        fit = now < self.fitness.eligible_until_ms(now)
         return wire.Standing(
             view_number=0 if view is None else view.number,
             applied_ticket=self.log.applied,
@@ -242,7 +242,7 @@
 
     def take_joining(self, member: MemberId, joining: wire.Joining) -> None:
         """Take a new node's wish: one view then takes in all that start at once."""
-        self.membership.asks_to_join(
+        self.membership.record_join_request(
             ViewMember(
                 member,
                 DomainId(joining.domain),
@@ -255,9 +255,9 @@
 
     def echoed(self, member: MemberId, standing: wire.Standing, sent_ms: float) -> None:
         """Take a beat of ours that came back, sent at ``sent_ms``."""
-        self.heard(member, standing)
+        self.record_message(member, standing)
         self.fitness.applied = self.log.applied
-        self.fitness.echo(
+        self.fitness.record_echo(
             member,
             ViewNumber(standing.view_number),
             sent_ms,
@@ -272,15 +272,15 @@
         if self._behind(standing):
             self._on_behind(member)
         elif standing.has_stamp:
-            self.fitness.relayed(sent_ms, standing.stamp_age_ms)
+            self.fitness.record_relayed_read(sent_ms, standing.stamp_age_ms)
         self.note_fitness()
 
-    def heard(self, member: MemberId, standing: wire.Standing) -> None:
+    def record_message(self, member: MemberId, standing: wire.Standing) -> None:
         """Take the word of a peer, without proof that it hears us."""
         now = now_ms()
-        self.membership.heard(member, now)
+        self.membership.record_message(member, now)
         for silent in standing.silent:
-            self.membership.silent_elsewhere(MemberId(silent), member, now)
+            self.membership.record_silence_report(MemberId(silent), member, now)
 
     def tail(self, after: TicketNumber, limit: int) -> list[bytes] | None:
         """Return applied tickets after a number, None if no longer kept."""
--- a/src/crocusspindle/services/entry.py
+++ b/src/crocusspindle/services/entry.py
@@ -14,7 +14,7 @@
 from crocusspindle.core.caller_addresses import caller_addresses
 from crocusspindle.core.decisions import Outcome
 from crocusspindle.core.directory import key_digest
-from crocusspindle.core.loans import OverRate, Spent, Unfit
+from crocusspindle.core.loans import Ineligible, OverRate, Spent
 from crocusspindle.core.model import Customer, Route
 from crocusspindle.core.operation_records import OperationName, StoredResponse
 from crocusspindle.core.rendezvous import order
@@ -189,11 +189,11 @@
 
     def _serves(self, member: MemberId) -> bool:
         if member == self._control.me.member:
-            return self._control.is_fit() and not self._control.draining
+            return self._control.is_eligible() and not self._control.draining
         return self._peers.usable(member)
 
     def _check_fit(self, customer: CustomerId) -> None:
-        if self._control.is_fit():
+        if self._control.is_eligible():
             return
         # Cut off from the fleet, this node may hold withdrawn keys and spent
         # shares. Its callers learn at once where else to go.
@@ -368,7 +368,7 @@
         result = await self._rates.spend(customer.customer)
         if isinstance(result, Spent):
             return result
-        if isinstance(result, Unfit):
+        if isinstance(result, Ineligible):
             self._check_fit(customer.customer)
         retry_at_ms = now_ms() + self._settings.timings.heartbeat_ms
         if isinstance(result, OverRate):
--- a/src/crocusspindle/services/follower.py
+++ b/src/crocusspindle/services/follower.py
@@ -11,9 +11,9 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.core.members import (
     MemberView,
+    NoProposalReason,
     Outage,
-    ProposalBar,
-    Standing,
+    ProposerState,
     decode_view,
     encode_view,
 )
@@ -121,7 +121,7 @@
     async def leave(self) -> None:
         """Take this node out of the view by its own word."""
         self._stopping = True
-        self._control.membership.leaves(self._control.me.member)
+        self._control.membership.record_leave(self._control.me.member)
         with suppress(PlatformError):
             await self._propose()
 
@@ -207,15 +207,15 @@
         """Write the next view on condition, when there is a reason for one."""
         control, now = self._control, now_ms()
         fitness = control.fitness
-        standing = Standing(
-            fit=now < fitness.stamp_until_ms(),
+        standing = ProposerState(
+            eligible=now < fitness.fresh_until_ms(),
             in_majority=now < fitness.contact_until_ms(now),
             confirmed=fitness.confirmed(now),
         )
         proposed = control.membership.propose(
             standing, now, unix_ms(), self._outages(now)
         )
-        if isinstance(proposed, ProposalBar):
+        if isinstance(proposed, NoProposalReason):
             return
         result = await self._platform.put(
             FLEET, VIEW, encode_view(proposed), self._view_version, self._deadline_ms()
@@ -279,4 +279,4 @@
         control.take_tickets(decode_ticket(content) for content in reply.tickets)
         caught_up = control.log.applied >= reply.applied_ticket
         if caught_up and reply.has_stamp:
-            control.fitness.relayed(asked_ms, reply.stamp_age_ms)
+            control.fitness.record_relayed_read(asked_ms, reply.stamp_age_ms)
--- a/src/crocusspindle/services/gauges.py
+++ b/src/crocusspindle/services/gauges.py
@@ -34,7 +34,7 @@
         return [] if age_ms is None else [(age_ms, {})]
 
     single: Mapping[Instrument, Callable[[], float]] = {
-        instruments.FIT: control.is_fit,
+        instruments.FIT: control.is_eligible,
         instruments.MEMBERS: members,
         instruments.PEERS: connected,
         instruments.TICKET: lambda: control.log.applied,
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -64,7 +64,7 @@
 class Rights(Protocol):
     """Say what this node may do at this moment."""
 
-    def is_fit(self) -> bool:
+    def is_eligible(self) -> bool:
         """Return True if the node may begin new work now."""
 
     def key_active(self, credential: bytes) -> bool:
@@ -285,7 +285,9 @@
         Checked at the moment of use: the process may have been paused, or the key or
         the owner's approval withdrawn, since the request was queued.
         """
-        if not self._rights.is_fit() or not self._rights.key_active(head.credential):
+        if not self._rights.is_eligible() or not self._rights.key_active(
+            head.credential
+        ):
             return False
         service, customer = ServiceId(head.service), CustomerId(head.customer)
         return self._rights.approved(service, customer)
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -292,7 +292,7 @@
     def _note_load(self, handling: Handling, load: wire.Load) -> None:
         if handling.group is not None:
             seen = HomeLoad(load.queued, load.running, load.slots, load.wait_ms)
-            self._chooser.note(handling.group, seen)
+            self._chooser.update_load(handling.group, seen)
 
     async def _allow(self, handling: Handling, link: EntryLink) -> GivenUp | None:
         """Let the home send the request, unless there is a word against it."""
--- a/src/crocusspindle/services/home.py
+++ b/src/crocusspindle/services/home.py
@@ -107,7 +107,7 @@
             deadline_ms=now_ms() + head.remaining_ms,
             final=asyncio.get_running_loop().create_future(),
         )
-        if not self._control.is_fit():
+        if not self._control.is_eligible():
             unfit = GivenUp(Outcome.NOT_RUN, HOME_UNFIT, now_ms())
             await send_refusal(request, unfit, now_ms())
             return
--- a/src/crocusspindle/services/ledger.py
+++ b/src/crocusspindle/services/ledger.py
@@ -262,7 +262,7 @@
             if looks % EXPIRE_EVERY == 0:
                 await self._expire()
             self._ledger.note_outages(self._control.fitness.away_views(now_ms()))
-            if now_ms() < self._control.fitness.stamp_until_ms():
+            if now_ms() < self._control.fitness.fresh_until_ms():
                 with suppress(PlatformError):
                     await self._flush()
                     if looks % LOAD_EVERY == 0:
@@ -306,7 +306,7 @@
 
     def _may_load(self, view: MemberView) -> bool:
         fitness, now = self._control.fitness, now_ms()
-        settled = fitness.majority_at(view.number, now)
+        settled = fitness.is_settled(view.number, now)
         return settled and now < fitness.table_until_ms(now)
 
     async def _flush(self) -> None:
--- a/src/crocusspindle/services/ports.py
+++ b/src/crocusspindle/services/ports.py
@@ -62,7 +62,7 @@
     async def Heartbeat(self, stream: Stream[wire.Beat, wire.Echo]) -> None:
         """Echo the beats of a peer for as long as it sends them."""
         async for beat in stream:
-            self._control.heard(MemberId(beat.member), beat.standing)
+            self._control.record_message(MemberId(beat.member), beat.standing)
             if beat.HasField("joining"):
                 self._control.take_joining(MemberId(beat.member), beat.joining)
             echo = wire.Echo(
--- a/src/crocusspindle/services/rates.py
+++ b/src/crocusspindle/services/rates.py
@@ -5,20 +5,20 @@
 
 from crocusspindle import instruments
 from crocusspindle.clock import now_ms
-from crocusspindle.core.held import ShareSettings
-from crocusspindle.core.holders import Placement, holder_count
+from crocusspindle.core.holders import HolderSelector, holder_count
 from crocusspindle.core.holders import ViewMember as Holder
-from crocusspindle.core.lenders import MIN_REFUSED_MS
+from crocusspindle.core.lenders import MIN_REFUSAL_BACKOFF_MS
 from crocusspindle.core.loans import (
     MAX_GATHERS,
     Borrow,
+    Ineligible,
     LedgerStatus,
     Loan,
     OverRate,
     SpendResult,
     Spent,
-    Unfit,
 )
+from crocusspindle.core.local_shares import ShareSettings
 from crocusspindle.core.members import MemberView
 from crocusspindle.core.model import Customer
 from crocusspindle.core.shares import TOP_UP_MS, ShareLedger
@@ -61,7 +61,7 @@
             control.me.member,
             self._limit_of,
         )
-        self._placement = Placement(())
+        self._placement = HolderSelector(())
         self._gathering: set[CustomerId] = set()
         control.watch(change=self._change, view=self._take_view)
 
@@ -69,7 +69,7 @@
         """Begin to watch for views that a majority knows."""
         self.spawn(self._activate())
 
-    async def spend(self, customer: CustomerId) -> Spent | OverRate | Unfit:
+    async def spend(self, customer: CustomerId) -> Spent | OverRate | Ineligible:
         """Take one token, borrowing what is missing from other holders."""
         begun_ms = now_ms()
         result = await self._try(customer)
@@ -82,14 +82,16 @@
             self._level(customer)
         return result
 
-    async def _try(self, customer: CustomerId) -> Spent | OverRate | Unfit:
-        result = self._ledger.spend(customer, self._control.fit_until_ms(), now_ms())
+    async def _try(self, customer: CustomerId) -> Spent | OverRate | Ineligible:
+        result = self._ledger.spend(
+            customer, self._control.eligible_until_ms(), now_ms()
+        )
         for _ in range(MAX_QUESTIONS):
             if not isinstance(result, Borrow):
                 return result
             result = await self._borrow(customer, result)
         if isinstance(result, Borrow):
-            return OverRate(now_ms() + MIN_REFUSED_MS)
+            return OverRate(now_ms() + MIN_REFUSAL_BACKOFF_MS)
         return result
 
     def refund(self, customer: CustomerId, spent: Spent) -> None:
@@ -99,8 +101,8 @@
     def lend(self, customer: CustomerId, missing: float) -> Loan:
         """Lend tokens to another member."""
         self._metrics.add(instruments.SHARE_LOANS)
-        fit_until_ms = self._control.fit_until_ms()
-        return self._ledger.lend(customer, missing, fit_until_ms, now_ms())
+        eligible_until_ms = self._control.eligible_until_ms()
+        return self._ledger.lend(customer, missing, eligible_until_ms, now_ms())
 
     async def lend_whole(self, customer: CustomerId, missing: float) -> Loan:
         """Lend tokens, gathering a whole one from other holders if need be.
@@ -135,9 +137,9 @@
         lender, asked_ms = asked.holders[0], now_ms()
         loan = await self._ask(customer, lender, asked.missing)
         if loan is None:
-            self._ledger.unanswered(customer, lender, now_ms())
+            self._ledger.record_timeout(customer, lender, now_ms())
         else:
-            self._ledger.topped_up(customer, loan, lender, asked_ms, now_ms())
+            self._ledger.credit_loan(customer, loan, lender, asked_ms, now_ms())
 
     def holders(self, customer: Customer) -> tuple[MemberId, ...]:
         """Return the members that hold a customer's shares."""
@@ -156,7 +158,7 @@
         loan = await self._ask(customer, lender, asked.missing)
         if loan is None:
             return self._ledger.lost(customer, lender, asked_ms, now_ms())
-        return self._ledger.borrowed(customer, loan, lender, asked_ms, now_ms())
+        return self._ledger.credit_and_spend(customer, loan, lender, asked_ms, now_ms())
 
     async def _ask(
         self, customer: CustomerId, lender: MemberId, missing: float
@@ -194,7 +196,7 @@
 
     def _take_view(self, view: MemberView) -> None:
         holders = [Holder(one.member, one.domain) for one in view.members]
-        self._placement = Placement(holders)
+        self._placement = HolderSelector(holders)
         self._ledger.set_view(view.number, holders, now_ms())
 
     async def _activate(self) -> None:
--- a/src/crocusspindle_standins/prove.py
+++ b/src/crocusspindle_standins/prove.py
@@ -53,7 +53,7 @@
         (
             Edit(
                 "src/crocusspindle/services/control.py",
-                "        return now_ms() < self.fit_until_ms()",
+                "        return now_ms() < self.eligible_until_ms()",
                 "        return True",
             ),
         ),
--- a/tests/core/ledger_simulation.py
+++ b/tests/core/ledger_simulation.py
@@ -229,7 +229,7 @@
         now_ms, view = self.fleet.now(node), node.view
         if view is None or node.own_member.member not in self.fleet.reaching_platform:
             return
-        settled = node.fitness.majority_at(view.number, now_ms)
+        settled = node.fitness.is_settled(view.number, now_ms)
         if not settled or now_ms >= node.fitness.table_until_ms(now_ms):
             return
         for version, value in self.rows.values():
--- a/tests/core/shares_world.py
+++ b/tests/core/shares_world.py
@@ -3,9 +3,9 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from crocusspindle.core.held import ShareSettings
 from crocusspindle.core.holders import ViewMember
 from crocusspindle.core.loans import Borrow, Loan, Spent
+from crocusspindle.core.local_shares import ShareSettings
 from crocusspindle.core.model import Customer
 from crocusspindle.core.shares import ShareLedger
 from crocusspindle.ids import CustomerId, DomainId, MemberId, ViewNumber
@@ -139,7 +139,7 @@
         adopted = [node.seen.get(each.member, 0) >= node.view for each in members]
         return 2 * sum(adopted) > len(members)
 
-    def fit_until_ms(self, node: Node) -> float:
+    def eligible_until_ms(self, node: Node) -> float:
         if not self.faults.check_timestamp:
             return float("inf")
         until_ms = node.timestamp_ms + LEASE_MS
@@ -174,7 +174,7 @@
         eligible = [
             node
             for node in self.nodes.values()
-            if self.fit_until_ms(node) >= node.now_ms(self.true_ms)
+            if self.eligible_until_ms(node) >= node.now_ms(self.true_ms)
         ]
         known_tickets = sorted(node.ticket for node in members)[len(members) // 2]
         known_tickets = min([known_tickets, *(node.ticket for node in eligible)])
@@ -187,7 +187,7 @@
         if node.paused or node.ticket == 0:
             return
         now_ms = node.now_ms(self.true_ms)
-        result = node.ledger.spend(customer, self.fit_until_ms(node), now_ms)
+        result = node.ledger.spend(customer, self.eligible_until_ms(node), now_ms)
         self._handle_result(node, customer, result)
 
     def _handle_result(self, node: Node, customer: CustomerId, result: object) -> None:
@@ -221,7 +221,7 @@
         lender = self.nodes[loan_request.lender]
         if loan_request.loan is None:
             if not lender.paused and not lender.cut and not loan_request.borrower.cut:
-                until_ms = self.fit_until_ms(lender)
+                until_ms = self.eligible_until_ms(lender)
                 now_ms = lender.now_ms(self.true_ms)
                 name, missing = loan_request.customer, loan_request.missing
                 loan = lender.ledger.lend(name, missing, until_ms, now_ms)
@@ -254,9 +254,9 @@
             now_ms,
         )
         if not loan_request.for_request:
-            loan_request.borrower.ledger.topped_up(*arguments)
+            loan_request.borrower.ledger.credit_loan(*arguments)
             return
-        result = loan_request.borrower.ledger.borrowed(*arguments)
+        result = loan_request.borrower.ledger.credit_and_spend(*arguments)
         if not loan_request.timed_out:
             self._handle_result(loan_request.borrower, loan_request.customer, result)
 
@@ -269,7 +269,7 @@
             self.loan_requests.remove(loan_request)
         now_ms = loan_request.borrower.now_ms(self.true_ms)
         if not loan_request.for_request:
-            loan_request.borrower.ledger.unanswered(
+            loan_request.borrower.ledger.record_timeout(
                 loan_request.customer, loan_request.lender, now_ms
             )
             return
--- a/tests/core/small_fleet.py
+++ b/tests/core/small_fleet.py
@@ -2,14 +2,14 @@
 
 from dataclasses import dataclass, field
 
-from crocusspindle.core.fitness import Fitness
+from crocusspindle.core.eligibility import Eligibility
 from crocusspindle.core.members import (
     Membership,
     MembershipLimits,
     MemberView,
+    NoProposalReason,
     Outage,
-    ProposalBar,
-    Standing,
+    ProposerState,
     ViewMember,
     decode_view,
     encode_view,
@@ -26,7 +26,7 @@
     own_member: ViewMember
     offset_ms: float
     rate: float
-    fitness: Fitness
+    fitness: Eligibility
     membership: Membership
     ledger: OperationLedger
     applied: int = 0
@@ -44,7 +44,7 @@
     Node clocks start at different offsets and run up to 2 % fast or slow.
     """
 
-    fitness_type: type[Fitness] = Fitness
+    fitness_type: type[Eligibility] = Eligibility
     ledger_limits: LedgerLimits = field(default_factory=LedgerLimits)
     time_ms: float = 0.0
     nodes: dict[MemberId, Node] = field(default_factory=dict)
@@ -95,7 +95,7 @@
         if self.row:
             self.adopt(node, decode_view(self.row))
         self.apply(node, len(self.tickets))
-        node.fitness.stamp(self.now(node))
+        node.fitness.record_read(self.now(node))
 
     def apply(self, node: Node, number: int) -> None:
         node.applied = max(node.applied, number)
@@ -106,15 +106,15 @@
         link = (node.own_member.member, peer.own_member.member)
         if link in self.blocked:
             return
-        peer.membership.heard(node.own_member.member, self.now(peer))
+        peer.membership.record_message(node.own_member.member, self.now(peer))
         if node.view is not None:
             self.adopt(peer, node.view)
         if (link[1], link[0]) in self.blocked:
             return
         sent_ms = self.now(node) - delay_ms
-        node.membership.heard(peer.own_member.member, self.now(node))
+        node.membership.record_message(peer.own_member.member, self.now(node))
         for silent in peer.membership.silent(self.now(peer)):
-            node.membership.silent_elsewhere(
+            node.membership.record_silence_report(
                 silent, peer.own_member.member, self.now(node)
             )
         if peer.view is not None:
@@ -122,8 +122,8 @@
         age_ms = peer.fitness.stamp_age_ms(self.now(peer))
         self.apply(node, peer.applied)
         if age_ms is not None:
-            node.fitness.relayed(sent_ms, age_ms)
-        node.fitness.echo(
+            node.fitness.record_relayed_read(sent_ms, age_ms)
+        node.fitness.record_echo(
             peer.own_member.member,
             peer.view.number if peer.view else ViewNumber(0),
             sent_ms,
@@ -141,16 +141,16 @@
                 if peer is not node:
                     self.send_heartbeat(node, peer)
         for node in self.awake():
-            node.fitness.is_fit(self.now(node))
+            node.fitness.is_eligible(self.now(node))
 
     def rounds(self, count: int) -> None:
         for _ in range(count):
             self.round()
 
-    def standing(self, node: Node) -> Standing:
+    def standing(self, node: Node) -> ProposerState:
         now_ms = self.now(node)
-        return Standing(
-            fit=now_ms < node.fitness.stamp_until_ms(),
+        return ProposerState(
+            eligible=now_ms < node.fitness.fresh_until_ms(),
             in_majority=now_ms < node.fitness.contact_until_ms(now_ms),
             confirmed=node.fitness.confirmed(now_ms),
         )
@@ -170,7 +170,7 @@
         proposed = node.membership.propose(
             self.standing(node), self.now(node), int(self.time_ms), self.outages(node)
         )
-        if isinstance(proposed, ProposalBar):
+        if isinstance(proposed, NoProposalReason):
             return False
         head = decode_view(self.row).number if self.row else 0
         if proposed.number != head + 1:
@@ -195,7 +195,7 @@
         fleet.start(f"n{index}", str(index))
     first = fleet.nodes[MemberId("n0")]
     for node in fleet.awake():
-        first.membership.asks_to_join(node.own_member)
+        first.membership.record_join_request(node.own_member)
     fleet.poll(first)
     assert fleet.propose(first)
     fleet.rounds(6)
--- a/tests/core/test_fitness.py
+++ b/tests/core/test_eligibility.py
@@ -6,12 +6,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from crocusspindle.core.fitness import Fitness, FitnessLimits, FitnessReason
+from crocusspindle.core.eligibility import (
+    Eligibility,
+    EligibilityLimits,
+    EligibilityReason,
+)
 from crocusspindle.core.members import MemberView, PreviousView, ViewMember
 from crocusspindle.ids import DomainId, MemberId, TicketNumber, ViewNumber
 from tests.core.small_fleet import Fleet, Node, started_fleet
 
-LIMITS = FitnessLimits()
+LIMITS = EligibilityLimits()
 
 
 def view(number: int, names: str) -> MemberView:
@@ -21,53 +25,53 @@
     return MemberView(ViewNumber(number), members)
 
 
-def make_eligibility(names: str = "abcde") -> Fitness:
-    eligibility = Fitness(MemberId("a"))
+def make_eligibility(names: str = "abcde") -> Eligibility:
+    eligibility = Eligibility(MemberId("a"))
     eligibility.adopt(view(1, names), 0.0)
     return eligibility
 
 
 def record_echoes(
-    eligibility: Fitness, names: Iterable[str], at_ms: float, number: int = 1
+    eligibility: Eligibility, names: Iterable[str], at_ms: float, number: int = 1
 ) -> None:
     for name in names:
-        eligibility.echo(MemberId(name), ViewNumber(number), at_ms)
+        eligibility.record_echo(MemberId(name), ViewNumber(number), at_ms)
 
 
 def test_a_timestamp_counts_from_the_begin_of_its_read() -> None:
     eligibility = make_eligibility()
-    assert eligibility.reason(0.0) is FitnessReason.NO_STAMP
-    eligibility.stamp(1000.0)
-    eligibility.stamp(500.0)
-    assert eligibility.fit_until_ms(1200.0) == 1000.0 + LIMITS.freshness_ms
-    assert eligibility.reason(1200.0) is FitnessReason.STAMP
+    assert eligibility.reason(0.0) is EligibilityReason.NO_FRESH_TIMESTAMP
+    eligibility.record_read(1000.0)
+    eligibility.record_read(500.0)
+    assert eligibility.eligible_until_ms(1200.0) == 1000.0 + LIMITS.freshness_ms
+    assert eligibility.reason(1200.0) is EligibilityReason.FRESH_TIMESTAMP
 
 
 def test_a_relayed_timestamp_is_never_newer_than_its_read() -> None:
     """A reply is delayed for a minute. If its age counted from its arrival, an old read
     would look fresh, and a withdrawn key would continue to work."""
     eligibility = make_eligibility()
-    eligibility.relayed(requested_at_ms=10_000.0, age_ms=1_500.0)
-    assert eligibility.stamp_until_ms() == 8_500.0 + LIMITS.freshness_ms
-    eligibility.relayed(requested_at_ms=5_000.0, age_ms=0.0)
-    assert not eligibility.is_fit(60_000.0)
+    eligibility.record_relayed_read(requested_at_ms=10_000.0, age_ms=1_500.0)
+    assert eligibility.fresh_until_ms() == 8_500.0 + LIMITS.freshness_ms
+    eligibility.record_relayed_read(requested_at_ms=5_000.0, age_ms=0.0)
+    assert not eligibility.is_eligible(60_000.0)
 
 
 def test_a_majority_keeps_a_node_eligible_in_a_platform_outage() -> None:
     eligibility = make_eligibility()
     eligibility.platform_failing(10_000.0)
     record_echoes(eligibility, "b", 10_000.0)
-    assert eligibility.reason(10_000.0) is FitnessReason.NO_MAJORITY
+    assert eligibility.reason(10_000.0) is EligibilityReason.NO_MAJORITY
     record_echoes(eligibility, "c", 9_500.0)
-    assert eligibility.reason(10_000.0) is FitnessReason.MAJORITY
-    assert eligibility.fit_until_ms(10_000.0) == 9_500.0 + LIMITS.contact_ms
-    assert not eligibility.is_fit(9_500.0 + LIMITS.contact_ms)
+    assert eligibility.reason(10_000.0) is EligibilityReason.MAJORITY
+    assert eligibility.eligible_until_ms(10_000.0) == 9_500.0 + LIMITS.contact_ms
+    assert not eligibility.is_eligible(9_500.0 + LIMITS.contact_ms)
 
 
 def test_a_majority_is_not_enough_without_a_failed_read() -> None:
     eligibility = make_eligibility()
     record_echoes(eligibility, "bcde", 10_000.0)
-    assert eligibility.reason(10_000.0) is FitnessReason.NO_STAMP
+    assert eligibility.reason(10_000.0) is EligibilityReason.NO_FRESH_TIMESTAMP
 
 
 def test_members_at_a_later_view_or_with_later_tickets_do_not_count() -> None:
@@ -77,50 +81,54 @@
     eligibility.platform_failing(10_000.0)
     record_echoes(eligibility, "bcd", 10_000.0)
     record_echoes(eligibility, "bc", 10_001.0, number=2)
-    assert not eligibility.is_fit(10_001.0)
+    assert not eligibility.is_eligible(10_001.0)
     eligibility = make_eligibility()
     eligibility.platform_failing(10_000.0)
     for name in "bcde":
-        eligibility.echo(
+        eligibility.record_echo(
             MemberId(name), ViewNumber(1), 10_000.0, applied=TicketNumber(7)
         )
-    assert not eligibility.is_fit(10_000.0)
+    assert not eligibility.is_eligible(10_000.0)
     eligibility.applied = TicketNumber(7)
-    assert eligibility.is_fit(10_000.0 + LIMITS.refresh_ms)
+    assert eligibility.is_eligible(10_000.0 + LIMITS.refresh_ms)
 
 
 def test_the_deadline_of_a_resumed_node_has_passed() -> None:
     """A host pauses the process for a minute. When it resumes, all its evidence is
     positive but outdated."""
     eligibility = make_eligibility()
-    eligibility.stamp(1_000.0)
+    eligibility.record_read(1_000.0)
     eligibility.platform_failing(1_000.0)
     record_echoes(eligibility, "bcde", 1_000.0)
-    assert eligibility.is_fit(1_500.0)
-    assert not eligibility.is_fit(61_000.0)
+    assert eligibility.is_eligible(1_500.0)
+    assert not eligibility.is_eligible(61_000.0)
     assert not eligibility.away(61_000.0)
 
 
 def test_a_lost_platform_counts_as_unreachable_until_the_next_view() -> None:
     eligibility = make_eligibility()
-    eligibility.stamp(0.0)
+    eligibility.record_read(0.0)
     eligibility.platform_failing(1_000.0)
     assert not eligibility.away(3_000.0)
     assert eligibility.away(4_500.0)
-    eligibility.stamp(6_000.0)
+    eligibility.record_read(6_000.0)
     assert eligibility.away(6_000.0)
     later = replace(view(3, "abcde"), formers=(PreviousView(ViewNumber(2), ()),))
     eligibility.adopt(later, 6_000.0)
     assert not eligibility.away(6_000.0)
-    eligibility.echo(MemberId("b"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(0)])
-    eligibility.echo(MemberId("c"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(2)])
+    eligibility.record_echo(
+        MemberId("b"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(0)]
+    )
+    eligibility.record_echo(
+        MemberId("c"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(2)]
+    )
     assert eligibility.away_views(6_000.0) == {1, 2}
 
 
-class NoConfirmation(Fitness):
+class NoConfirmation(Eligibility):
     """Baseline: accept a majority of the own view without regard to previous views."""
 
-    def majority_at(self, view_number: ViewNumber, now_ms: float) -> bool:
+    def is_settled(self, view_number: ViewNumber, now_ms: float) -> bool:
         return self._view is not None and view_number <= self._view.number
 
 
@@ -134,7 +142,7 @@
     }
 
 
-def split_fleet(fitness_type: type[Fitness]) -> Fleet:
+def split_fleet(fitness_type: type[Eligibility]) -> Fleet:
     """Isolate two of five; the three lose the platform just as a view is written."""
     fleet = started_fleet(5, fitness_type=fitness_type)
     old = {MemberId(name) for name in ("n0", "n1", "n2")}
@@ -142,7 +150,7 @@
     for name in ("n5", "n6", "n7", "n8"):
         joining = fleet.start(name, name[1:])
         fleet.partition(old)
-        fleet.nodes[MemberId("n4")].membership.asks_to_join(joining.own_member)
+        fleet.nodes[MemberId("n4")].membership.record_join_request(joining.own_member)
     fleet.reaching_platform -= old
     fleet.round()
     fleet.propose(fleet.nodes[MemberId("n4")])
@@ -157,13 +165,13 @@
     platform as well: six of a view of nine. Both partitions spend the same shares, and
     a customer gets twice its rate."""
     assert views_with_majority(split_fleet(NoConfirmation)) == {1, 2}
-    assert views_with_majority(split_fleet(Fitness)) == {1}
+    assert views_with_majority(split_fleet(Eligibility)) == {1}
 
 
 class SplitMachine(RuleBasedStateMachine):
     """Search for failing orders of partitions, outages, pauses, restarts and views."""
 
-    fitness_type: type[Fitness] = Fitness
+    fitness_type: type[Eligibility] = Eligibility
 
     def __init__(self) -> None:
         super().__init__()
@@ -228,7 +236,7 @@
                 node.own_member.member,
                 peer.own_member.member,
             ) not in self.fleet.blocked:
-                peer.membership.asks_to_join(node.own_member)
+                peer.membership.record_join_request(node.own_member)
 
     @rule(index=st.integers(0, 9))
     def ticket(self, index: int) -> None:
@@ -246,7 +254,7 @@
         assert len(views_with_majority(self.fleet)) <= 1
         for node in self.fleet.awake():
             now_ms = self.fleet.now(node)
-            if now_ms >= node.fitness.stamp_until_ms():
+            if now_ms >= node.fitness.fresh_until_ms():
                 continue
             # Allows for clocks up to 2 % fast or slow.
             since_ms = self.fleet.time_ms - LIMITS.freshness_ms * 1.03
@@ -266,7 +274,7 @@
     eligibility = make_eligibility(names)
     eligibility.platform_failing(1_000.0)
     record_echoes(eligibility, names[1 : size // 2 + 1], 1_000.0)
-    assert eligibility.is_fit(1_000.0)
+    assert eligibility.is_eligible(1_000.0)
     alone = make_eligibility(names)
     alone.platform_failing(1_000.0)
-    assert alone.is_fit(1_000.0) is (size == 1)
+    assert alone.is_eligible(1_000.0) is (size == 1)
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -7,10 +7,10 @@
     Membership,
     MembershipLimits,
     MemberView,
+    NoProposalReason,
     Outage,
     PreviousView,
-    ProposalBar,
-    Standing,
+    ProposerState,
     ViewMember,
     decode_view,
     diff,
@@ -20,8 +20,8 @@
 from tests.core.small_fleet import Fleet, started_fleet
 
 LIMITS = MembershipLimits(batch_ms=0.0)
-ELIGIBLE = Standing(fit=True, in_majority=True, confirmed=True)
-ISOLATED = Standing(fit=True, in_majority=False, confirmed=True)
+ELIGIBLE = ProposerState(eligible=True, in_majority=True, confirmed=True)
+ISOLATED = ProposerState(eligible=True, in_majority=False, confirmed=True)
 
 
 def member(name: str, address: str | None = None) -> ViewMember:
@@ -44,7 +44,7 @@
 def propose_view(
     membership: Membership,
     now_ms: float,
-    standing: Standing = ELIGIBLE,
+    standing: ProposerState = ELIGIBLE,
     *outages: Outage,
 ) -> MemberView:
     view = membership.propose(standing, now_ms, int(now_ms), outages)
@@ -85,33 +85,37 @@
     membership = membership_of(6)
     assert membership.silent(9_000.0) == ()
     for name in ("n0", "n2", "n3", "n4", "n5"):
-        membership.heard(MemberId(name), 9_000.0)
+        membership.record_message(MemberId(name), 9_000.0)
     now_ms = 11_000.0
     assert membership.silent(now_ms) == ("n1",)
-    membership.silent_elsewhere(MemberId("n1"), MemberId("n3"), now_ms)
-    assert membership.propose(ELIGIBLE, now_ms, 0) is ProposalBar.NOTHING_TO_CHANGE
-    membership.silent_elsewhere(MemberId("n1"), MemberId("n2"), now_ms)
-    assert membership.propose(ISOLATED, now_ms, 0) is ProposalBar.NOTHING_TO_CHANGE
+    membership.record_silence_report(MemberId("n1"), MemberId("n3"), now_ms)
+    assert membership.propose(ELIGIBLE, now_ms, 0) is NoProposalReason.NOTHING_TO_CHANGE
+    membership.record_silence_report(MemberId("n1"), MemberId("n2"), now_ms)
+    assert membership.propose(ISOLATED, now_ms, 0) is NoProposalReason.NOTHING_TO_CHANGE
     view = propose_view(membership, now_ms)
     assert MemberId("n1") not in view.names
     assert view.formers == (PreviousView(ViewNumber(1), view_of(6).names),)
-    membership.heard(MemberId("n1"), now_ms)
-    assert membership.propose(ELIGIBLE, now_ms, 0) is ProposalBar.NOTHING_TO_CHANGE
+    membership.record_message(MemberId("n1"), now_ms)
+    assert membership.propose(ELIGIBLE, now_ms, 0) is NoProposalReason.NOTHING_TO_CHANGE
 
 
 def test_a_witness_report_expires() -> None:
     membership = membership_of(3)
-    membership.silent_elsewhere(MemberId("n1"), MemberId("n2"), 1_000.0)
-    membership.heard(MemberId("n2"), 11_000.0)
-    assert membership.propose(ELIGIBLE, 11_000.0, 0) is ProposalBar.NOTHING_TO_CHANGE
+    membership.record_silence_report(MemberId("n1"), MemberId("n2"), 1_000.0)
+    membership.record_message(MemberId("n2"), 11_000.0)
+    assert (
+        membership.propose(ELIGIBLE, 11_000.0, 0) is NoProposalReason.NOTHING_TO_CHANGE
+    )
 
 
 def test_one_view_removes_at_most_a_minority() -> None:
     membership = membership_of(7)
     for name in view_of(7).names[2:]:
         for witness in ("n1", "n2"):
-            membership.silent_elsewhere(MemberId(name), MemberId(witness), 11_000.0)
-    membership.heard(MemberId("n1"), 11_000.0)
+            membership.record_silence_report(
+                MemberId(name), MemberId(witness), 11_000.0
+            )
+    membership.record_message(MemberId("n1"), 11_000.0)
     assert len(propose_view(membership, 11_000.0).members) == 4
 
 
@@ -128,11 +132,11 @@
 
 def test_a_member_that_announces_its_leave_is_removed_at_once() -> None:
     membership = membership_of(3)
-    membership.leaves(MemberId("n2"))
+    membership.record_leave(MemberId("n2"))
     view = propose_view(membership, 1.0, ISOLATED)
     assert view.names == ("n0", "n1")
     assert view.gone == {"n2"}
-    membership.leaves(MemberId("n0"))
+    membership.record_leave(MemberId("n0"))
     membership.adopt(view, 1.0)
     assert propose_view(membership, 2.0).names == ("n1",)
 
@@ -140,21 +144,21 @@
 def test_an_ineligible_node_proposes_nothing_and_changes_are_batched() -> None:
     membership = Membership(member("n0"))
     membership.adopt(view_of(2), 0.0)
-    membership.asks_to_join(member("n5"))
-    ineligible = Standing(fit=False, in_majority=True, confirmed=True)
-    assert membership.propose(ineligible, 5_000.0, 0) is ProposalBar.UNFIT
-    assert membership.propose(ELIGIBLE, 500.0, 0) is ProposalBar.BATCHING
+    membership.record_join_request(member("n5"))
+    ineligible = ProposerState(eligible=False, in_majority=True, confirmed=True)
+    assert membership.propose(ineligible, 5_000.0, 0) is NoProposalReason.INELIGIBLE
+    assert membership.propose(ELIGIBLE, 500.0, 0) is NoProposalReason.BATCHING
     assert propose_view(membership, 1_000.0).names == ("n0", "n1", "n5")
 
 
 def test_a_view_carries_a_bounded_number_of_unconfirmed_views() -> None:
     membership = membership_of(1)
-    unconfirmed = Standing(fit=True, in_majority=True, confirmed=False)
+    unconfirmed = ProposerState(eligible=True, in_majority=True, confirmed=False)
     for number in range(1, MAX_PREVIOUS_VIEWS + 1):
-        membership.asks_to_join(member(f"n{number}"))
+        membership.record_join_request(member(f"n{number}"))
         membership.adopt(propose_view(membership, 1.0, unconfirmed), 1.0)
-    membership.asks_to_join(member("n99"))
-    assert membership.propose(unconfirmed, 1.0, 0) is ProposalBar.UNCONFIRMED
+    membership.record_join_request(member("n99"))
+    assert membership.propose(unconfirmed, 1.0, 0) is NoProposalReason.UNCONFIRMED
     assert len(propose_view(membership, 1.0, ELIGIBLE).formers) == 1
 
 
@@ -166,9 +170,9 @@
     membership.adopt(view, 1_000.0)
     assert (
         membership.propose(ELIGIBLE, 2_000.0, 2_000, [outage])
-        is ProposalBar.NOTHING_TO_CHANGE
+        is NoProposalReason.NOTHING_TO_CHANGE
     )
-    membership.asks_to_join(member("n7"))
+    membership.record_join_request(member("n7"))
     late_ms = LIMITS.outage_kept_ms + 2_000
     assert propose_view(membership, late_ms).outages == ()
 
@@ -225,5 +229,5 @@
     view = decode_view(fleet.row)
     assert len(view.members) == 5
     assert all(
-        node.fitness.majority_at(view.number, fleet.now(node)) for node in fleet.awake()
+        node.fitness.is_settled(view.number, fleet.now(node)) for node in fleet.awake()
     )
--- a/tests/core/test_operations.py
+++ b/tests/core/test_operations.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from crocusspindle.core.fitness import Fitness
+from crocusspindle.core.eligibility import Eligibility
 from crocusspindle.core.operation_holders import HolderHistory, holders
 from crocusspindle.core.operation_records import (
     AlreadyRan,
@@ -61,7 +61,7 @@
     def join(self, count: int, writer: Node) -> None:
         for index in range(5, 5 + count):
             node = self.fleet.start(f"n{index}", str(index))
-            writer.membership.asks_to_join(node.own_member)
+            writer.membership.record_join_request(node.own_member)
         assert self.fleet.propose(writer)
 
     def holders(self) -> list[Node]:
@@ -153,7 +153,7 @@
     for index in range(5, 13):
         leaving = scenario.fleet.nodes[MemberId(f"n{index}")]
         for node in scenario.fleet.awake():
-            node.membership.leaves(leaving.own_member.member)
+            node.membership.record_leave(leaving.own_member.member)
         scenario.fleet.kill(leaving)
     assert scenario.fleet.propose(scenario.fleet.awake()[0])
     scenario.fleet.rounds(8)
@@ -188,7 +188,7 @@
 
 def freshness_is_enough(monkeypatch: pytest.MonkeyPatch) -> None:
     """Baseline: every node that reaches the platform decides by its table."""
-    monkeypatch.setattr(Fitness, "table_until_ms", lambda f, _: f.stamp_until_ms())
+    monkeypatch.setattr(Eligibility, "table_until_ms", lambda f, _: f.fresh_until_ms())
 
 
 def holders_decide_without_row(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/core/test_operations_machine.py
+++ b/tests/core/test_operations_machine.py
@@ -72,7 +72,7 @@
             return
         if kind == "leave":
             for peer in self.fleet.awake():
-                peer.membership.leaves(old.own_member.member)
+                peer.membership.record_leave(old.own_member.member)
         if kind in ("crash", "leave", "restart") and len(self.fleet.nodes) > 2:
             self.fleet.kill(old)
         if kind in ("join", "restart"):
@@ -84,7 +84,7 @@
             node = self.fleet.start(f"n{self.started_count}", address)
             self.started_count += 1
             for peer in self.fleet.awake():
-                peer.membership.asks_to_join(node.own_member)
+                peer.membership.record_join_request(node.own_member)
         self.run_rounds(rounds)
 
     @rule(rounds=ROUNDS)
--- a/tests/core/test_shares.py
+++ b/tests/core/test_shares.py
@@ -2,11 +2,16 @@
 
 import pytest
 
-from crocusspindle.core.held import ShareSettings
-from crocusspindle.core.holders import Placement, ViewMember, holder_count, holders_of
-from crocusspindle.core.loans import Borrow, Loan, OverRate, Spent, Unfit
+from crocusspindle.core.holder_cache import HolderCache
+from crocusspindle.core.holders import (
+    HolderSelector,
+    ViewMember,
+    holder_count,
+    holders_of,
+)
+from crocusspindle.core.loans import Borrow, Ineligible, Loan, OverRate, Spent
+from crocusspindle.core.local_shares import ShareSettings
 from crocusspindle.core.model import Customer
-from crocusspindle.core.placements import Placements
 from crocusspindle.core.shares import ShareLedger
 from crocusspindle.ids import CustomerId, DomainId, MemberId, ViewNumber
 
@@ -74,12 +79,12 @@
         Customer(CustomerId(f"club-{number}"), rng.choice([1.0, 90.0, 400.0]), 50)
         for number in range(60)
     ]
-    placements = Placements()
+    placements = HolderCache()
     for number in range(24, 200):
         del members[rng.randrange(len(members))]
         domain = DomainId(f"d{rng.randrange(4 + (number % 40 == 0))}")
         members.append(ViewMember(MemberId(f"m{number}"), domain))
-        placements.install(tuple(members), Placement(members))
+        placements.install(tuple(members), HolderSelector(members))
         for each in rng.sample(customers, 20):
             expected = holders_of(each.customer, each.rate_per_s, each.burst, members)
             assert placements.holders(each) == expected
@@ -103,9 +108,11 @@
         borrow_more := holder.gather(CLUB.customer, borrow.missing, now_ms)
     ) is not None:
         loan = other.lend(CLUB.customer, borrow_more.missing, FOREVER, now_ms)
-        holder.topped_up(CLUB.customer, loan, borrow_more.holders[0], now_ms, now_ms)
+        holder.credit_loan(CLUB.customer, loan, borrow_more.holders[0], now_ms, now_ms)
     loan = holder.lend(CLUB.customer, borrow.missing, FOREVER, now_ms)
-    result = non_holder.borrowed(CLUB.customer, loan, borrow.holders[0], now_ms, now_ms)
+    result = non_holder.credit_and_spend(
+        CLUB.customer, loan, borrow.holders[0], now_ms, now_ms
+    )
     assert isinstance(result, Spent)
     for ledger in (first, second):
         assert ledger.lend(CLUB.customer, 0.01, FOREVER, now_ms).amount == 0.0
@@ -120,7 +127,7 @@
     borrow = first.top_up(CLUB.customer, now_ms)
     assert borrow == Borrow((HOLDERS[1],), 0.5)
     loan = second.lend(CLUB.customer, borrow.missing, FOREVER, now_ms)
-    first.topped_up(CLUB.customer, loan, HOLDERS[1], now_ms, now_ms + 3.0)
+    first.credit_loan(CLUB.customer, loan, HOLDERS[1], now_ms, now_ms + 3.0)
     now_ms += 1_000.0
     assert isinstance(first.spend(CLUB.customer, FOREVER, now_ms), Spent)
 
@@ -129,12 +136,14 @@
     # A holder is paused beyond its lease, and the next holder has opened. When it
     # resumes, it would spend the same tokens again: two bursts for the customer.
     ledger = ledger_of(HOLDERS[0])
-    assert ledger.spend(CLUB.customer, 99_999.0, 100_000.0) == Unfit()
+    assert ledger.spend(CLUB.customer, 99_999.0, 100_000.0) == Ineligible()
     assert ledger.lend(CLUB.customer, 1.0, 99_999.0, 100_000.0).amount == 0.0
     loan = Loan(1.0, 0.5, 0.0)
     requested_ms = 99_990.0
-    result = ledger.borrowed(CLUB.customer, loan, HOLDERS[1], requested_ms, 100_000.0)
-    assert result == Unfit()
+    result = ledger.credit_and_spend(
+        CLUB.customer, loan, HOLDERS[1], requested_ms, 100_000.0
+    )
+    assert result == Ineligible()
 
 
 def test_a_late_loan_is_worth_what_its_lender_has_not_refilled():
@@ -143,7 +152,9 @@
     non_holder = ledger_of(NON_HOLDER)
     loan = Loan(1.0, 0.5, 1_000.0)
     non_holder.spend(CLUB.customer, FOREVER, 9_000.0)
-    result = non_holder.borrowed(CLUB.customer, loan, HOLDERS[0], 9_000.0, 10_000.0)
+    result = non_holder.credit_and_spend(
+        CLUB.customer, loan, HOLDERS[0], 9_000.0, 10_000.0
+    )
     assert isinstance(result, Borrow)
     assert result.missing == pytest.approx(0.51)
 
@@ -153,7 +164,7 @@
     now_ms = 100_000.0
     refused = Loan(0.0, 0.5, 1_000.0)
     for holder in HOLDERS:
-        non_holder.borrowed(CLUB.customer, refused, holder, now_ms, now_ms)
+        non_holder.credit_and_spend(CLUB.customer, refused, holder, now_ms, now_ms)
     results = [
         non_holder.spend(CLUB.customer, FOREVER, now_ms + step) for step in range(900)
     ]
@@ -206,7 +217,7 @@
     kept = [each for each in MEMBERS if each.member != lost_holder]
     (successor,) = holders_of(tiny.customer, tiny.rate_per_s, tiny.burst, kept)
     ledger = ledger_of(successor, tiny)
-    ledger.gone(lost_holder, 0.0)
+    ledger.take_over_from(lost_holder, 0.0)
     full_ms = SETTINGS.wait_ms + 5_000.0
     assert ledger.holders(tiny) == (successor,)
     assert not isinstance(ledger.spend(tiny.customer, FOREVER, full_ms - 1.0), Spent)
@@ -219,7 +230,7 @@
     # A holder is isolated, another one takes over, and the partition heals. Both would
     # spend until the other one learns that its takeover has ended.
     ledger = ledger_of(HOLDERS[0])
-    ledger.lapse(100_000.0)
+    ledger.expire_shares(100_000.0)
     opens_at_ms = 100_000.0 + SETTINGS.wait_ms
     for now_ms in (100_000.0, opens_at_ms + 1_999.0):
         assert not isinstance(ledger.spend(CLUB.customer, FOREVER, now_ms), Spent)
--- a/tests/services/test_hand_over.py
+++ b/tests/services/test_hand_over.py
@@ -4,7 +4,7 @@
 
 from crocusspindle.clock import now_ms
 from crocusspindle.core.decisions import Outcome
-from crocusspindle.core.groups import cut
+from crocusspindle.core.groups import partition_targets
 from crocusspindle.core.members import MemberView, ViewMember
 from crocusspindle.errors import PeerError
 from crocusspindle.ids import ViewNumber
@@ -51,7 +51,7 @@
         ]
         self.view = MemberView(ViewNumber(1), tuple(members))
         self.me = ViewMember("entry", "d0", "r", "h:9", "p:9", 0)
-        self.groups = {"desk": cut("desk", ["t:1"])}
+        self.groups = {"desk": partition_targets("desk", ["t:1"])}
 
 
 class Peers:
