--- a/benchmarks/gray_targets.py
+++ b/benchmarks/gray_targets.py
@@ -23,7 +23,7 @@
 from crocusspindle.core import target_gauge
 from crocusspindle.core.asks import Ask, Placed
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
-from crocusspindle.core.repeat_budget import RepeatBudget
+from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
 from crocusspindle.core.target_gauge import Ending, Standing
 from crocusspindle.ids import DomainId, GrantId, HostId, ServiceId
@@ -87,7 +87,7 @@
     def __init__(self, pooled: bool) -> None:
         self.judges = 1 if pooled else ENTRIES
         self._placers = [
-            ServicePlacer(0.7, RepeatBudget(0.2, 58.0, 10_000.0))
+            ServicePlacer(0.7, RetryBudget(0.2, 58.0, 10_000.0))
             for _ in range(self.judges)
         ]
         for placer in self._placers:
--- a/benchmarks/placing_trial.py
+++ b/benchmarks/placing_trial.py
@@ -14,7 +14,7 @@
 from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
 from crocusspindle.core.policies import ALL_POLICIES, Policies
-from crocusspindle.core.repeat_budget import RepeatBudget
+from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
 from crocusspindle.core.target_gauge import Ending
 from crocusspindle.ids import DomainId, HostId, ServiceId
@@ -209,9 +209,9 @@
         self._events: list[_Event] = []
         self._number = 0
         self._held: list[tuple[_Request, Waiting, bool]] = []
-        self._budget = RepeatBudget(site.budget_ratio, site.budget_extra, 10_000.0)
+        self._budget = RetryBudget(site.budget_ratio, site.budget_extra, 10_000.0)
         # It is the only placer that the service ever had.
-        self._budget.knows_since(-math.inf)
+        self._budget.set_known_since(-math.inf)
         self.placer = ServicePlacer(FLOOR_SHARE, self._budget, policies)
         self.placer.set_targets(self._listed(), 0.0)
         self.tallies = {work.name: Tally() for work in site.works}
--- a/src/crocusspindle/core/configuration.py
+++ b/src/crocusspindle/core/configuration.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class WeightedService:
     """Hold the weight with which a service gets a route's requests."""
 
     service: ServiceId
@@ -40,7 +40,7 @@
     host: str
     prefix: str
     kind: RequestKind
-    parts: tuple[Part, ...]
+    weighted_services: tuple[WeightedService, ...]
     timeout_ms: float
     aim_ms: float
     attempts: int
@@ -101,12 +101,14 @@
     return KeyDigest(hashlib.sha256(key.encode()).digest())
 
 
-def choose_part(parts: tuple[Part, ...], draw: float) -> ServiceId:
+def choose_service(
+    weighted_services: tuple[WeightedService, ...], draw: float
+) -> ServiceId:
     """Return the service for a draw from [0, 1), in proportion to the weights."""
-    total = sum(weighted.weight for weighted in parts)
+    total = sum(weighted.weight for weighted in weighted_services)
     point = draw * total
-    for weighted in parts:
+    for weighted in weighted_services:
         point -= weighted.weight
         if point < 0:
             return weighted.service
-    return parts[-1].service
+    return weighted_services[-1].service
--- a/src/crocusspindle/core/decisions.py
+++ b/src/crocusspindle/core/decisions.py
@@ -111,7 +111,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeLoad:
+class CoordinatorLoad:
     """Hold the load by which entries choose between groups."""
 
     queued: int
@@ -132,10 +132,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeStatus:
+class CoordinatorStatus:
     """Report a group coordinator's state to operators."""
 
-    load: HomeLoad
+    load: CoordinatorLoad
     targets: tuple[TargetStatus, ...]
     queued_by_customer: tuple[tuple[CustomerId, int], ...]
     retry_tokens: float
--- a/src/crocusspindle/core/duty_history.py
+++ b/src/crocusspindle/core/duty_history.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from crocusspindle.core.view import Seat, View
+from crocusspindle.core.view import View, ViewEntry
 from crocusspindle.ids import HostId, Incarnation
 
 VIEWS_KEPT: Final = 16
@@ -19,8 +19,8 @@
     """
 
     first: bool
-    put_out: tuple[Seat, ...]
-    former: Seat | None
+    put_out: tuple[ViewEntry, ...]
+    former: ViewEntry | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
         # The previous holder may have acted for longer, without that view. A running
         # member is asked; what a process that ended did is unknown.
         former = rank.former
-        return former is None or former in first.view.seats
+        return former is None or former in first.view.entries
 
     def _holds(self, view: View, role: str) -> bool:
         rank = self.rank_in(view, role)
@@ -121,9 +121,9 @@
         return _rank_of(own, view, role)
 
 
-def _rank_of(own: Seat, view: View, role: str) -> AssignmentRank:
+def _rank_of(own: ViewEntry, view: View, role: str) -> AssignmentRank:
     fenced = {entry.key for entry in view.fenced}
-    everyone = (*view.seats, *view.fenced)
+    everyone = (*view.entries, *view.fenced)
     entry_by_host = {entry.node.host: entry for entry in everyone}
     ranked = View(view.number, everyone).ranked(role)
     position = ranked.index(own.node.host)
--- a/src/crocusspindle/core/floor_watch.py
+++ b/src/crocusspindle/core/floor_watch.py
@@ -219,7 +219,7 @@
     healthy = [
         tracker
         for tracker in ready
-        if tracker.ejection_state is Standing.HEALTHY and not tracker.limit.holds
+        if tracker.ejection_state is Standing.HEALTHY and not tracker.limit.is_active
     ]
     slots = sum(tracker.listed.slots for tracker in healthy)
     busy = sum(len(tracker.grants) for tracker in healthy)
--- a/src/crocusspindle/core/group_coordinator.py
+++ b/src/crocusspindle/core/group_coordinator.py
@@ -16,12 +16,12 @@
     Arrival,
     AttemptEnd,
     Cancel,
+    CoordinatorLoad,
+    CoordinatorStatus,
     Decision,
     Dispatch,
     Fail,
     Finish,
-    HomeLoad,
-    HomeStatus,
     Outcome,
     RefusalReason,
     Refuse,
@@ -41,14 +41,14 @@
     "Arrival",
     "AttemptEnd",
     "Cancel",
+    "CoordinatorLoad",
     "CoordinatorSettings",
+    "CoordinatorStatus",
     "Decision",
     "Dispatch",
     "Fail",
     "Finish",
     "GroupCoordinator",
-    "HomeLoad",
-    "HomeStatus",
     "Outcome",
     "RefusalReason",
     "Refuse",
@@ -216,7 +216,7 @@
         poll = self._now_ms + self._settings.poll_ms
         return poll if due is None else min(due, poll)
 
-    def load(self) -> HomeLoad:
+    def load(self) -> CoordinatorLoad:
         """Return the load by which entries choose a group, as of the last event."""
         now_ms = self._now_ms
         capacity = self._target_pool.capacity(now_ms)
@@ -224,11 +224,11 @@
         queued = len(self._queue) + len(self._retries)
         ahead = max(0, queued + running + 1 - capacity)
         wait_ms = self._admission.wait_ms(ahead, now_ms) if ahead else 0.0
-        return HomeLoad(queued, running, capacity, wait_ms)
+        return CoordinatorLoad(queued, running, capacity, wait_ms)
 
-    def snapshot(self) -> HomeStatus:
+    def snapshot(self) -> CoordinatorStatus:
         """Return the status shown to operators, as of the last event."""
-        return HomeStatus(
+        return CoordinatorStatus(
             load=self.load(),
             targets=self._target_pool.status(self._now_ms),
             queued_by_customer=tuple(self._queue.customers()),
--- a/src/crocusspindle/core/groups.py
+++ b/src/crocusspindle/core/groups.py
@@ -6,7 +6,7 @@
 from math import ceil
 from typing import Final
 
-from crocusspindle.core.decisions import HomeLoad
+from crocusspindle.core.decisions import CoordinatorLoad
 from crocusspindle.core.rendezvous import score
 from crocusspindle.ids import ServiceId, TargetId
 
@@ -82,10 +82,10 @@
 
     def __init__(self, generator: random.Random) -> None:
         self._random = generator
-        self._loads: dict[Group, HomeLoad] = {}
+        self._loads: dict[Group, CoordinatorLoad] = {}
         self._sent: dict[Group, int] = {}
 
-    def update_load(self, group: Group, load: HomeLoad) -> None:
+    def update_load(self, group: Group, load: CoordinatorLoad) -> None:
         """Record the load that a reply of the group's coordinator reported."""
         self._loads[group] = load
         self._sent[group] = 0
--- a/src/crocusspindle/core/quota_keeper.py
+++ b/src/crocusspindle/core/quota_keeper.py
@@ -17,7 +17,7 @@
 
 from crocusspindle.core.configuration import CustomerRule
 from crocusspindle.core.duty_history import DutyHistory, Term
-from crocusspindle.core.view import Seat, SeatKey, View
+from crocusspindle.core.view import View, ViewEntry, ViewEntryKey
 from crocusspindle.core.window_bucket import WindowBucket
 from crocusspindle.ids import CustomerId, HostId, Incarnation
 
@@ -60,7 +60,7 @@
     successor_since_ms: float = math.nan
     previous_released_ms: float = math.nan
     barred_to_view: int = -1
-    cleared: dict[SeatKey, float] = field(default_factory=dict)
+    cleared: dict[ViewEntryKey, float] = field(default_factory=dict)
 
     def close(self) -> None:
         """Stop admitting; all releases are needed again before the next opening."""
@@ -90,7 +90,7 @@
         self._view_confirmed_at_ms = -math.inf
         self._rules: Mapping[CustomerId, CustomerRule] = {}
         self._accounts: dict[CustomerId, _Account] = {}
-        self._fenced_since_ms: dict[SeatKey, float] = {}
+        self._fenced_since_ms: dict[ViewEntryKey, float] = {}
         self._history = DutyHistory(host, incarnation)
 
     def set_rules(self, rules: Mapping[CustomerId, CustomerRule]) -> None:
@@ -131,12 +131,12 @@
                 for key, at_ms in account.cleared.items()
                 if key in self._fenced_since_ms
             }
-            if account.opened and not self.is_heir(customer):
+            if account.opened and not self.ranks_first(customer):
                 self._freeze(account, customer, now_ms)
                 account.close()
                 account.barred_to_view = max(account.barred_to_view, view_number)
 
-    def over(self, now_ms: float) -> set[SeatKey]:
+    def expired_keys(self, now_ms: float) -> set[ViewEntryKey]:
         """Return the keys of fenced entries whose confirmations expired everywhere."""
         return {
             key
@@ -144,7 +144,7 @@
             if now_ms - since_ms > self._fence_ms
         }
 
-    def is_heir(self, customer: CustomerId) -> bool:
+    def ranks_first(self, customer: CustomerId) -> bool:
         """Return True if this node ranks first for the customer among the members."""
         rank = self._history.rank(customer)
         return rank is not None and rank.first
@@ -156,7 +156,7 @@
             self._accounts[customer] = account
         return account
 
-    def to_clear(self, customer: CustomerId, now_ms: float) -> list[Seat]:
+    def pending_releases(self, customer: CustomerId, now_ms: float) -> list[ViewEntry]:
         """Return the view entries whose nodes have yet to release the customer."""
         account = self._account(customer)
         rank = self._history.rank(customer)
@@ -170,7 +170,7 @@
             tenure = self._history.last_term(customer, account.barred_to_view)
             account.successor_since_ms = now_ms if tenure is None else tenure.since_ms
             account.tokens = 0.0
-        done = account.cleared.keys() | self.over(now_ms)
+        done = account.cleared.keys() | self.expired_keys(now_ms)
         waiting = [entry for entry in rank.put_out if entry.key not in done]
         timed_out = now_ms - account.successor_since_ms > self._fence_ms
         cleared = timed_out or not math.isnan(account.previous_released_ms)
@@ -204,7 +204,7 @@
     def _may_admit(self, customer: CustomerId, now_ms: float) -> bool:
         if now_ms - self._view_confirmed_at_ms >= self._fence_ms:
             return False
-        if not self.is_heir(customer) or self.to_clear(customer, now_ms):
+        if not self.ranks_first(customer) or self.pending_releases(customer, now_ms):
             return False
         assert self._view is not None
         return self._accounts[customer].barred_to_view < self._view.number
@@ -226,7 +226,7 @@
         self, tenure: Term, customer: CustomerId, account: _Account
     ) -> float:
         """Return since when no other node can have admitted the customer."""
-        removed_end_ms: dict[SeatKey, float] = {}
+        removed_end_ms: dict[ViewEntryKey, float] = {}
         exclusive_ms = tenure.since_ms
         if tenure.succeeds_itself:
             # The previous process of this host had ended when this one started.
@@ -251,8 +251,8 @@
         left = 0.0 if rule is None else account.bucket.tokens(rule, now_ms)
         account.tokens = max(0.0, left)
 
-    def released(
-        self, customer: CustomerId, by: SeatKey, tokens: float, now_ms: float
+    def record_release(
+        self, customer: CustomerId, by: ViewEntryKey, tokens: float, now_ms: float
     ) -> None:
         """Record that a node released the customer, with the tokens left."""
         account = self._account(customer)
--- a/src/crocusspindle/core/rate_limit.py
+++ b/src/crocusspindle/core/rate_limit.py
@@ -26,7 +26,7 @@
 
     target: TargetIdentity
     limit_per_s: float | None
-    asked_ms: float
+    sent_ms: float
 
 
 class RateLimit:
@@ -45,33 +45,33 @@
         self._at_ms = -math.inf
 
     @property
-    def holds(self) -> bool:
+    def is_active(self) -> bool:
         """Return True while a limit is in force."""
         return self._per_ms < math.inf
 
     @property
     def limit_per_s(self) -> float | None:
         """Return the limit in force, None without one."""
-        return self._per_ms * 1e3 if self.holds else None
+        return self._per_ms * 1e3 if self.is_active else None
 
     @property
-    def asked_ms(self) -> float:
+    def sent_ms(self) -> float:
         """Return when the request was sent whose response named the limit."""
         return self._request_sent_ms
 
-    def take(self, report: LimitReport, now_ms: float) -> bool:
+    def apply_report(self, report: LimitReport, now_ms: float) -> bool:
         """Apply the limit that a response names; return True if it changed."""
         if report.limit_per_s is None:
             return self._apply_missing_limit(report)
-        if report.asked_ms < self._request_sent_ms:
+        if report.sent_ms < self._request_sent_ms:
             return False
         per_ms = max(MIN_PER_S, report.limit_per_s) / 1e3
-        self._request_sent_ms = report.asked_ms
+        self._request_sent_ms = report.sent_ms
         self._response_ms = now_ms
         self._without_limit = 0
         if per_ms == self._per_ms:
             return False
-        if self.holds:
+        if self.is_active:
             self._fill(now_ms)
         else:
             # Other hosts may have sent requests just before: begin without tokens.
@@ -81,7 +81,7 @@
         return True
 
     def _apply_missing_limit(self, report: LimitReport) -> bool:
-        if not self.holds or report.asked_ms <= self._response_ms:
+        if not self.is_active or report.sent_ms <= self._response_ms:
             return False
         self._without_limit += 1
         if self._without_limit < RESPONSES_WITHOUT_LIMIT:
@@ -91,18 +91,18 @@
 
     def allows(self, now_ms: float) -> bool:
         """Return True if the limit admits one more request now."""
-        if not self.holds:
+        if not self.is_active:
             return True
         self._fill(now_ms)
         return self._tokens >= 1.0
 
-    def sent(self, now_ms: float) -> None:
+    def record_sent(self, now_ms: float) -> None:
         """Count one request that this or another host sent to the target."""
-        if self.holds:
+        if self.is_active:
             self._fill(now_ms)
             self._tokens -= 1.0
 
-    def carries(self, typical_ms: float) -> float:
+    def sustained_concurrency(self, typical_ms: float) -> float:
         """Return the concurrency that the limit sustains at a typical latency."""
         return self._per_ms * typical_ms
 
--- a/src/crocusspindle/core/reader_choice.py
+++ b/src/crocusspindle/core/reader_choice.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import Final
 
-from crocusspindle.core.view import NodeAddress, by_capacity
+from crocusspindle.core.view import NodeAddress, rank_by_capacity
 from crocusspindle.ids import HostId, Incarnation
 
-READER_DUTY: Final = b"reader"
+READER_ROLE: Final = b"reader"
 SUSPECT_MS: Final = 2_000.0
 SUSPECT_MAX_MS: Final = 32_000.0
 """Readers that stay silent while others respond are retried at growing intervals. With
@@ -54,7 +54,7 @@
         eligible = [node for node in known if self._is_candidate(node, now_ms)]
         if all(node.host == self._own for node in eligible):
             self._retry_suspects()
-        return by_capacity(READER_DUTY, eligible)
+        return rank_by_capacity(READER_ROLE, eligible)
 
     def _is_candidate(self, node: NodeAddress, now_ms: float) -> bool:
         suspicion = self._suspicions.get(node.host)
@@ -86,11 +86,11 @@
         self._suspicions[node.host] = suspicion
         return True
 
-    def heard(self, now_ms: float) -> None:
+    def record_response(self, now_ms: float) -> None:
         """Record any response, which shows that this node is not partitioned."""
         self._last_response_ms = now_ms
 
     def trust(self, host: HostId, now_ms: float) -> None:
         """Drop the suspicion of a node that has responded correctly."""
         self._suspicions.pop(host, None)
-        self.heard(now_ms)
+        self.record_response(now_ms)
--- a/src/crocusspindle/core/repeat_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from crocusspindle.core.repeat_record import RepeatRecord, Slot
+from crocusspindle.core.retry_record import RetryRecord, Slot
 
 EXTRA_FRACTIONS: Final = (0.7, 0.12, 0.05)
 """Fractions of the fixed allowance that placers use, by rank for the service. Nodes
@@ -33,7 +33,7 @@
 placer is lost, its successor uses the unpublished retries once more."""
 
 
-class RepeatBudget:
+class RetryBudget:
     """Count a service's requests and retries, including those of its other placers.
 
     When most targets of a service refuse or fail, each request would be sent several
@@ -57,9 +57,9 @@
         self._number = 0
         self._published_ms = -math.inf
         self._unpublished = 0
-        self._others: dict[str, RepeatRecord] = {}
+        self._others: dict[str, RetryRecord] = {}
 
-    def knows_since(self, since_ms: float) -> None:
+    def set_known_since(self, since_ms: float) -> None:
         """Record that all placements since a time were made or received here."""
         if math.isnan(self._since_ms) or since_ms < self._since_ms:
             self._since_ms = since_ms
@@ -85,7 +85,7 @@
         self._unpublished += 1
         return True
 
-    def is_due_to_tell(self, now_ms: float) -> bool:
+    def is_publish_due(self, now_ms: float) -> bool:
         """Return True if this placer should publish its counts to the others."""
         if (
             self._unpublished
@@ -99,7 +99,7 @@
     def _used(self, now_ms: float) -> int:
         since_ms = now_ms - self._window_ms
         counts_of_others = (
-            record.repeats_since(since_ms) for record in self._others.values()
+            record.retries_since(since_ms) for record in self._others.values()
         )
         return len(self._retries) + sum(counts_of_others)
 
@@ -143,20 +143,20 @@
             return 0.0
         return min(self._window_ms, now_ms - self._since_ms)
 
-    def records(self, own: str, now_ms: float) -> list[RepeatRecord]:
+    def records(self, own: str, now_ms: float) -> list[RetryRecord]:
         """Return the counts of this placer, under its own name, and of the others."""
         self._forget(now_ms)
         self._published_ms = now_ms
         self._unpublished = 0
         self._number += 1
         slots = _slots(self._requests, self._retries, self._window_ms / SLOTS, now_ms)
-        own_records = [RepeatRecord(own, self._number, slots)] if slots else []
+        own_records = [RetryRecord(own, self._number, slots)] if slots else []
         return own_records + list(self._others.values())
 
-    def hear(
+    def receive(
         self,
         own: str,
-        records: Iterable[RepeatRecord],
+        records: Iterable[RetryRecord],
         known_ms: float,
         now_ms: float,
     ) -> None:
@@ -167,7 +167,7 @@
                 self._others[record.origin] = record
         self._received_ms = now_ms
         if known_ms > 0.0:
-            self.knows_since(now_ms - known_ms)
+            self.set_known_since(now_ms - known_ms)
 
 
 def _slots(
--- a/src/crocusspindle/core/repeat_record.py
+++ b/src/crocusspindle/core/retry_record.py
@@ -11,11 +11,11 @@
 
     ended_ms: float
     requests: int
-    repeats: int
+    retries: int
 
 
 @dataclass(frozen=True, slots=True)
-class RepeatRecord:
+class RetryRecord:
     """Hold the counts of one process; a higher number is newer."""
 
     origin: str
@@ -31,6 +31,6 @@
         """Return the count of first attempts since a time."""
         return sum(slot.requests for slot in self.slots if slot.ended_ms > since_ms)
 
-    def repeats_since(self, since_ms: float) -> int:
+    def retries_since(self, since_ms: float) -> int:
         """Return the count of retries since a time."""
-        return sum(slot.repeats for slot in self.slots if slot.ended_ms > since_ms)
+        return sum(slot.retries for slot in self.slots if slot.ended_ms > since_ms)
--- a/src/crocusspindle/core/service_placer.py
+++ b/src/crocusspindle/core/service_placer.py
@@ -29,7 +29,7 @@
 )
 from crocusspindle.core.policies import ALL_POLICIES, Policies, Policy
 from crocusspindle.core.rate_limit import LimitReport
-from crocusspindle.core.repeat_budget import RepeatBudget
+from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.route_latencies import RouteLatencies
 from crocusspindle.core.target_choice import TargetChoice
 from crocusspindle.core.target_gauge import (
@@ -54,7 +54,7 @@
     def __init__(
         self,
         floor_share: float,
-        retry_budget: RepeatBudget,
+        retry_budget: RetryBudget,
         policies: Policies = ALL_POLICIES,
         now_ms: float = 0.0,
         crashes: CrashTable | None = None,
@@ -110,14 +110,14 @@
     def take_limit(self, report: LimitReport, now_ms: float) -> bool:
         """Update the rate limit that a target reported; return True if it changed."""
         tracker = self._trackers.get(report.target)
-        return tracker is not None and tracker.limit.take(report, now_ms)
+        return tracker is not None and tracker.limit.apply_report(report, now_ms)
 
     def count_paced(self, report: LimitReport, now_ms: float) -> None:
         """Count another placer's attempt at a rate-limited target."""
         tracker = self._trackers.get(report.target)
         if tracker is not None:
-            tracker.limit.take(report, now_ms)
-            tracker.limit.sent(now_ms)
+            tracker.limit.apply_report(report, now_ms)
+            tracker.limit.record_sent(now_ms)
 
     def paced(self) -> list[LimitReport]:
         """Return the limits of limited targets that got work since the last call."""
@@ -128,7 +128,7 @@
             if target in self._trackers
         }
         return [
-            LimitReport(target, limits[target].limit_per_s, limits[target].asked_ms)
+            LimitReport(target, limits[target].limit_per_s, limits[target].sent_ms)
             for target in targets
             if target in limits
         ]
@@ -206,7 +206,7 @@
         # A rate limit keeps fewer slots busy than there are, the fewer the shorter the
         # work.
         return sum(
-            min(tracker.listed.slots, tracker.limit.carries(work_ms))
+            min(tracker.listed.slots, tracker.limit.sustained_concurrency(work_ms))
             for tracker in self._trackers.values()
             if tracker.ejection_state is Standing.HEALTHY
             and tracker.listed.readiness is Readiness.READY
@@ -292,8 +292,8 @@
             placement_request.content,
         )
         tracker.last_used_ms = now_ms
-        if tracker.limit.holds:
-            tracker.limit.sent(now_ms)
+        if tracker.limit.is_active:
+            tracker.limit.record_sent(now_ms)
             self._limited_targets.append(tracker.listed.identity)
         hedge_ms = max(
             min_suspicious_ms, hedge_after_ms(sample, placement_request.aim_ms)
--- a/src/crocusspindle/core/proof.py
+++ b/src/crocusspindle/core/versioned_state.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Belief(Generic[Content]):
+class VersionedState(Generic[Content]):
     """Hold the newest known content and when it was last confirmed as the newest.
 
     ``confirmed_at_ms`` is when the read began whose response showed that no newer
@@ -17,9 +17,9 @@
 
     content: Content | None = None
     version: int = -1
-    proved_at_ms: float = -math.inf
+    confirmed_at_ms: float = -math.inf
 
-    def take(self, content: Content, version: int, proved_at_ms: float) -> bool:
+    def update(self, content: Content, version: int, confirmed_at_ms: float) -> bool:
         """Apply newer content; return True if it replaced the older one.
 
         A slow response may hold an older version than the one in force. Applying it
@@ -31,14 +31,14 @@
         if replaced:
             self.content = content
             self.version = version
-        self.proved_at_ms = max(self.proved_at_ms, proved_at_ms)
+        self.confirmed_at_ms = max(self.confirmed_at_ms, confirmed_at_ms)
         return replaced
 
-    def prove(self, version: int, proved_at_ms: float) -> None:
+    def confirm(self, version: int, confirmed_at_ms: float) -> None:
         """Record that a version was the newest at a time."""
         if version == self.version:
-            self.proved_at_ms = max(self.proved_at_ms, proved_at_ms)
+            self.confirmed_at_ms = max(self.confirmed_at_ms, confirmed_at_ms)
 
     def age_ms(self, now_ms: float) -> float:
         """Return how long ago the confirming read began."""
-        return now_ms - self.proved_at_ms
+        return now_ms - self.confirmed_at_ms
--- a/src/crocusspindle/core/view.py
+++ b/src/crocusspindle/core/view.py
@@ -23,7 +23,7 @@
     capacity: int = 100
 
     @property
-    def duty_weight(self) -> float:
+    def role_weight(self) -> float:
         """Return the weight with which this node is assigned roles.
 
         In a fleet of few large hosts and many small ones, a role that serves the whole
@@ -34,19 +34,19 @@
         return float(self.capacity) ** 4
 
 
-SeatKey = tuple[Incarnation, int]
+ViewEntryKey = tuple[Incarnation, int]
 """One membership period of one process, which may be removed and join again."""
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class ViewEntry:
     """Hold a member and the number of the view in which it joined."""
 
     node: NodeAddress
     joined: int
 
     @property
-    def key(self) -> SeatKey:
+    def key(self) -> ViewEntryKey:
         """Return the key that differs for each membership period of a process."""
         return (self.node.incarnation, self.joined)
 
@@ -60,29 +60,29 @@
     """
 
     number: int
-    seats: tuple[Seat, ...]
-    fenced: tuple[Seat, ...] = ()
-    by_host: Mapping[HostId, Seat] = field(init=False)
+    entries: tuple[ViewEntry, ...]
+    fenced: tuple[ViewEntry, ...] = ()
+    by_host: Mapping[HostId, ViewEntry] = field(init=False)
 
     def __post_init__(self) -> None:
         """Index the members by host."""
-        index = {entry.node.host: entry for entry in self.seats}
+        index = {entry.node.host: entry for entry in self.entries}
         object.__setattr__(self, "by_host", index)
 
     def ranked(self, role: str) -> list[HostId]:
         """Return the members by rank for a role."""
-        return by_capacity(role.encode(), (entry.node for entry in self.seats))
+        return rank_by_capacity(role.encode(), (entry.node for entry in self.entries))
 
 
-def by_capacity(role: bytes, nodes: Iterable[NodeAddress]) -> list[HostId]:
+def rank_by_capacity(role: bytes, nodes: Iterable[NodeAddress]) -> list[HostId]:
     """Return the nodes' hosts by rank for a role, larger ones first more often."""
-    return order_by_weight(role, {node.host: node.duty_weight for node in nodes})
+    return order_by_weight(role, {node.host: node.role_weight for node in nodes})
 
 
 def next_view(
     view: View | None,
     present: Mapping[HostId, NodeAddress],
-    over: Collection[SeatKey] = (),
+    expired_keys: Collection[ViewEntryKey] = (),
 ) -> View:
     """Return the view in which exactly the present nodes are members.
 
@@ -90,8 +90,8 @@
     act on its membership no longer. A host that is present under a new incarnation
     needs no fence for the previous one, whose process has ended.
     """
-    previous_members = () if view is None else view.seats
-    previous_entries = () if view is None else (*view.seats, *view.fenced)
+    previous_members = () if view is None else view.entries
+    previous_entries = () if view is None else (*view.entries, *view.fenced)
     kept = {
         entry.node.host: entry
         for entry in previous_members
@@ -101,12 +101,12 @@
     fenced = tuple(
         entry
         for entry in previous_entries
-        if entry.node.host not in present and entry.key not in over
+        if entry.node.host not in present and entry.key not in expired_keys
     )
-    seats = tuple(
-        kept.get(host) or Seat(present[host], number) for host in sorted(present)
+    entries = tuple(
+        kept.get(host) or ViewEntry(present[host], number) for host in sorted(present)
     )
-    return View(number, seats, fenced)
+    return View(number, entries, fenced)
 
 
 def members_changed(view: View | None, present: Mapping[HostId, NodeAddress]) -> bool:
--- a/src/crocusspindle/gateway/assembly.py
+++ b/src/crocusspindle/gateway/assembly.py
@@ -72,7 +72,7 @@
     choice = ReaderChoice(node.host, draw)
     pace = BytePace(settings.contents_bytes_per_ms)
     membership = Membership(
-        node, exchange, knowledge, reading, quota.over, choice, pace, draw
+        node, exchange, knowledge, reading, quota.expired_keys, choice, pace, draw
     )
     crashes = CrashSharing(exchange, knowledge, metrics)
     placers = Placers(node, bounds, exchange, knowledge, policies, crashes)
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -105,12 +105,12 @@
 
     async def _tell_all(self, note: CrashNote) -> None:
         view = self._knowledge.view.content
-        seats: Sequence[Address] = (
+        entries: Sequence[Address] = (
             ()
             if view is None
-            else [(seat.node.ip, seat.node.peer_port) for seat in view.seats]
+            else [(seat.node.ip, seat.node.peer_port) for seat in view.entries]
         )
-        asks = (self._exchange.ask(to, note, SILENT_S, SILENT_S) for to in seats)
+        asks = (self._exchange.ask(to, note, SILENT_S, SILENT_S) for to in entries)
         await asyncio.gather(*asks)
 
     def _log_record(self, message: str, record: CrashRecord, **more: str) -> None:
--- a/src/crocusspindle/gateway/entry.py
+++ b/src/crocusspindle/gateway/entry.py
@@ -8,9 +8,9 @@
 
 from crocusspindle.clock import now_ms
 from crocusspindle.core.configuration import Configuration, CustomerRule
-from crocusspindle.core.proof import Belief
 from crocusspindle.core.quota_keeper import Admitted, OverRate
 from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.versioned_state import VersionedState
 from crocusspindle.gateway import instruments
 from crocusspindle.gateway.admission import Admission
 from crocusspindle.gateway.answers import Refusal, refusal_response, send_answer
@@ -226,5 +226,5 @@
     return Refusal(502, f"target-{sent.ending.value}")
 
 
-def _age_ms(belief: Belief[Configuration]) -> int:
+def _age_ms(belief: VersionedState[Configuration]) -> int:
     return round(min(belief.age_ms(now_ms()), NEVER_MS))
--- a/src/crocusspindle/gateway/knowledge.py
+++ b/src/crocusspindle/gateway/knowledge.py
@@ -19,8 +19,8 @@
     Readiness,
     TargetIdentity,
 )
-from crocusspindle.core.proof import Belief
-from crocusspindle.core.view import NodeAddress, Seat, View
+from crocusspindle.core.versioned_state import VersionedState
+from crocusspindle.core.view import NodeAddress, View, ViewEntry
 from crocusspindle.errors import InvalidInputError
 from crocusspindle.gateway.messages import State
 from crocusspindle.gateway.updates import Forms, Packed
@@ -64,10 +64,10 @@
     def __init__(self, parse: Callable[[bytes], Configuration]) -> None:
         self._parse = parse
         self._log = Logger("knowledge")
-        self.configuration: Belief[Configuration] = Belief()
-        self.targets: Belief[tuple[ListedTarget, ...]] = Belief()
+        self.configuration: VersionedState[Configuration] = VersionedState()
+        self.targets: VersionedState[tuple[ListedTarget, ...]] = VersionedState()
         self.targets_digest = NO_DIGEST
-        self.view: Belief[View] = Belief()
+        self.view: VersionedState[View] = VersionedState()
         self.open_nodes: list[tuple[str, str]] = []
         self.open_digest = NO_DIGEST
         self.crashes = CrashTable()
@@ -107,25 +107,25 @@
             with suppress(TimeoutError):
                 await asyncio.wait_for(known.wait(), left_ms / 1e3)
 
-    def take_configuration(self, value: bytes, proved_at_ms: float) -> None:
+    def take_configuration(self, value: bytes, confirmed_at_ms: float) -> None:
         """Take a configuration as the platform holds it."""
         try:
             content = self._parse(value)
         except InvalidInputError as error:
             log_state_change(self._log, "configuration refused", findings=str(error))
             return
-        if self.configuration.take(content, content.version, proved_at_ms):
+        if self.configuration.update(content, content.version, confirmed_at_ms):
             self._configured.set()
-            self._forms["configuration"].take(content.version, value)
+            self._forms["configuration"].update(content.version, value)
             log_state_change(
                 self._log,
                 "configuration in force",
                 version=content.version,
-                proof_age_ms=_whole(now_ms() - proved_at_ms),
+                proof_age_ms=_whole(now_ms() - confirmed_at_ms),
             )
 
     def take_targets(
-        self, listed: Sequence[ListedTarget], version: int, proved_at_ms: float
+        self, listed: Sequence[ListedTarget], version: int, confirmed_at_ms: float
     ) -> None:
         """Take the list of targets as of a version of the store."""
         ordered = tuple(sorted(listed, key=lambda entry: entry.identity))
@@ -133,13 +133,13 @@
         digest = digest_of(form)
         if version < self.targets.version:
             return
-        self.targets.take(ordered, version, proved_at_ms)
+        self.targets.update(ordered, version, confirmed_at_ms)
         if digest != self.targets_digest:
             # Entries that were waited for after an outage go without a new version.
             self.targets.content = ordered
             self.targets_digest = digest
             self._listed.set()
-            self._forms["targets"].take(digest, form)
+            self._forms["targets"].update(digest, form)
             log_state_change(
                 self._log,
                 "targets changed",
@@ -148,15 +148,15 @@
                 listed=len(ordered),
             )
 
-    def take_view(self, view: View, proved_at_ms: float) -> None:
+    def take_view(self, view: View, confirmed_at_ms: float) -> None:
         """Take a view of the members."""
-        if self.view.take(view, view.number, proved_at_ms):
-            self._forms["view"].take(view.number, _form(packed_view(view)))
+        if self.view.update(view, view.number, confirmed_at_ms):
+            self._forms["view"].update(view.number, _form(packed_view(view)))
             log_state_change(
                 self._log,
                 "view in force",
                 number=view.number,
-                members=len(view.seats),
+                members=len(view.entries),
                 fenced=[seat.node.host for seat in view.fenced],
             )
 
@@ -165,7 +165,7 @@
         self.open_nodes = [(address, domain) for address, domain in open_nodes]
         form = _form(self.open_nodes)
         self.open_digest = digest_of(form)
-        self._forms["open"].take(self.open_digest, form)
+        self._forms["open"].update(self.open_digest, form)
 
     def take_crashes(self, records: Sequence[CrashRecord]) -> list[CrashRecord]:
         """Take over what others know of crashes; return the records that changed."""
@@ -179,7 +179,7 @@
         shared = self.crashes.shared()
         form = _form([packed_record(record) for record in shared])
         self.crash_digest = digest_of(form) if shared else NO_DIGEST
-        self._forms["crashes"].take(self.crash_digest, form)
+        self._forms["crashes"].update(self.crash_digest, form)
 
     def take_state(self, state: State, asked_ms: float) -> bool:
         """Take a reader's answer; its ages count from when it was asked.
@@ -191,7 +191,7 @@
             self.take_configuration(
                 configuration, asked_ms - state.configuration_age_ms
             )
-        self.configuration.prove(
+        self.configuration.confirm(
             state.configuration_version, asked_ms - state.configuration_age_ms
         )
         targets = self._take_targets_state(state, asked_ms)
@@ -199,7 +199,7 @@
         if view is not None:
             content = unpacked_view(msgpack.unpackb(view))
             self.take_view(content, asked_ms - state.view_age_ms)
-        self.view.prove(state.view_number, asked_ms - state.view_age_ms)
+        self.view.confirm(state.view_number, asked_ms - state.view_age_ms)
         open_nodes = self._unpacked("open", state.open_nodes)
         if open_nodes is not None:
             self.take_open_nodes(msgpack.unpackb(open_nodes))
@@ -245,14 +245,14 @@
         return None if packed is None else self._forms[document].unpacked(packed)
 
     def _take_targets_state(self, state: State, asked_ms: float) -> bytes | None:
-        proved_at_ms = asked_ms - state.targets_age_ms
+        confirmed_at_ms = asked_ms - state.targets_age_ms
         form = self._unpacked("targets", state.targets)
         if form is not None:
             listed = unpacked_targets(msgpack.unpackb(form))
-            self.take_targets(listed, state.targets_version, proved_at_ms)
+            self.take_targets(listed, state.targets_version, confirmed_at_ms)
         elif state.targets_digest == self.targets_digest:
             content = self.targets.content or ()
-            self.targets.take(content, state.targets_version, proved_at_ms)
+            self.targets.update(content, state.targets_version, confirmed_at_ms)
         return form
 
     def state_for(
@@ -385,16 +385,16 @@
     """Return a view as plain lists."""
     return [
         view.number,
-        [[*packed_node(seat.node), seat.joined] for seat in view.seats],
+        [[*packed_node(seat.node), seat.joined] for seat in view.entries],
         [[*packed_node(seat.node), seat.joined] for seat in view.fenced],
     ]
 
 
 def unpacked_view(parts: Sequence[Any]) -> View:
     """Return the view of `packed_view`."""
-    number, seats, fenced = parts
-    return View(number, _seats(seats), _seats(fenced))
+    number, entries, fenced = parts
+    return View(number, _seats(entries), _seats(fenced))
 
 
-def _seats(parts: Sequence[Sequence[Any]]) -> tuple[Seat, ...]:
-    return tuple(Seat(unpacked_node(part[:-1]), part[-1]) for part in parts)
+def _seats(parts: Sequence[Sequence[Any]]) -> tuple[ViewEntry, ...]:
+    return tuple(ViewEntry(unpacked_node(part[:-1]), part[-1]) for part in parts)
--- a/src/crocusspindle/gateway/membership.py
+++ b/src/crocusspindle/gateway/membership.py
@@ -10,7 +10,7 @@
 from crocusspindle.core.byte_pace import BytePace
 from crocusspindle.core.reader_choice import ReaderChoice
 from crocusspindle.core.rendezvous import order
-from crocusspindle.core.view import NodeAddress, SeatKey
+from crocusspindle.core.view import NodeAddress, ViewEntryKey
 from crocusspindle.errors import PlatformError
 from crocusspindle.gateway.exchange import Address, Exchange
 from crocusspindle.gateway.knowledge import (
@@ -82,7 +82,7 @@
         exchange: Exchange,
         knowledge: Knowledge,
         reading: Reading,
-        over: Callable[[], set[SeatKey]],
+        expired_keys: Callable[[], set[ViewEntryKey]],
         choice: ReaderChoice,
         pace: BytePace,
         draw: random.Random,
@@ -95,7 +95,7 @@
         self._knowledge = knowledge
         self._reading = reading
         self._registration = Registration(node, knowledge, reading, draw, self.spawn)
-        self._views = ViewKeeper(node, exchange, knowledge, reading, over)
+        self._views = ViewKeeper(node, exchange, knowledge, reading, expired_keys)
         self._log = Logger("membership")
         self._met: dict[HostId, NodeAddress] = {node.host: node}
         self._stays: dict[tuple[Address, str], NodeAddress] = {}
@@ -227,7 +227,7 @@
         if not state.reads or oldest_ms > OLD_PROOF_MS:
             reason = "old proofs" if state.reads else "lost the store"
             self._suspect(reader, reason)
-            self._choice.heard(now_ms())
+            self._choice.record_response(now_ms())
             return False
         self._choice.trust(reader, now_ms())
         await self._wait_for_contents(state.later)
--- a/src/crocusspindle/gateway/placer_ranks.py
+++ b/src/crocusspindle/gateway/placer_ranks.py
@@ -39,8 +39,8 @@
         self._number = belief.version
         self._ranked.clear()
         self._views.append((now_ms(), belief.content))
-        seats = () if belief.content is None else belief.content.seats
-        self._domains = {seat.node.ip: seat.node.domain for seat in seats}
+        entries = () if belief.content is None else belief.content.entries
+        self._domains = {seat.node.ip: seat.node.domain for seat in entries}
         return True
 
     def ranked(self, service: ServiceId) -> list[HostId]:
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -123,7 +123,7 @@
         self._learn()
 
     async def _repeats_note(self, note: RepeatsNote, sender: Address) -> None:
-        self._repeats.hear(note)
+        self._repeats.receive(note)
 
     async def _place_ask(
         self, message: PlaceAsk, sender: Address
@@ -219,8 +219,8 @@
             return Done()
         placer = self._placer(target.service)
         if note.limit_per_s is not None or ENDINGS[note.ending] is Ending.ANSWERED:
-            asked_ms = now_ms() - note.latency_ms
-            report = LimitReport(target.identity, note.limit_per_s, asked_ms)
+            sent_ms = now_ms() - note.latency_ms
+            report = LimitReport(target.identity, note.limit_per_s, sent_ms)
             self._take_limit(placer, report)
         placer.ended(
             target.identity,
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -199,8 +199,8 @@
     ) -> None:
         """Tell the placer how a sending ended."""
         if limit_per_s is not None or ending is Ending.ANSWERED:
-            asked_ms = now_ms() - latency_ms
-            self._limits.take(LimitReport(place.target.identity, limit_per_s, asked_ms))
+            sent_ms = now_ms() - latency_ms
+            self._limits.take(LimitReport(place.target.identity, limit_per_s, sent_ms))
         failed = ending not in (Ending.ANSWERED, Ending.ABANDONED, Ending.SHED)
         if failed and ending is not Ending.ERROR:
             self._fallback.avoid(place.target.identity, now_ms() + EJECTION_MS)
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -12,7 +12,7 @@
     QuotaKeeper,
 )
 from crocusspindle.core.quota_reserve import QuotaReserve
-from crocusspindle.core.view import NodeAddress, Seat, SeatKey
+from crocusspindle.core.view import NodeAddress, ViewEntry, ViewEntryKey
 from crocusspindle.gateway.exchange import Address, Exchange
 from crocusspindle.gateway.knowledge import Knowledge
 from crocusspindle.gateway.messages import (
@@ -80,14 +80,14 @@
         self._exchange.handle(ReleaseAsk, self._release_ask)
         self._knowledge.listen(self._learn)
 
-    def over(self) -> set[SeatKey]:
+    def expired_keys(self) -> set[ViewEntryKey]:
         """Return the stays of former members whose proofs have run out."""
-        return self._keeper.over(now_ms())
+        return self._keeper.expired_keys(now_ms())
 
     def _learn(self) -> None:
         view = self._knowledge.view
         if view.content is not None:
-            self._keeper.set_view(view.content, view.proved_at_ms, now_ms())
+            self._keeper.set_view(view.content, view.confirmed_at_ms, now_ms())
         if self._knowledge.configuration.version != self._configuration_version:
             configuration = self._knowledge.configuration.content
             assert configuration is not None
@@ -102,7 +102,7 @@
     ) -> SpendAnswer | RefusedAnswer | NotMineAnswer:
         customer = CustomerId(ask.customer)
         answer = self._keeper.spend(customer, ask.wait_limit_ms, now_ms())
-        if isinstance(answer, NotKept) and self._keeper.is_heir(customer):
+        if isinstance(answer, NotKept) and self._keeper.ranks_first(customer):
             await self._clear(customer)
             answer = self._keeper.spend(customer, ask.wait_limit_ms, now_ms())
         if isinstance(answer, Admitted):
@@ -124,13 +124,13 @@
         view = self._knowledge.view.content
         if view is None:
             return
-        waiting = self._keeper.to_clear(customer, now_ms())
+        waiting = self._keeper.pending_releases(customer, now_ms())
         await asyncio.gather(
             *(self._ask_release(customer, seat, view.number) for seat in waiting)
         )
 
     async def _ask_release(
-        self, customer: CustomerId, seat: Seat, view_number: int
+        self, customer: CustomerId, seat: ViewEntry, view_number: int
     ) -> None:
         to = (seat.node.ip, seat.node.peer_port)
         answer = await self._exchange.ask(
@@ -138,7 +138,7 @@
         )
         if not isinstance(answer, ReleaseAnswer):
             return
-        self._keeper.released(customer, seat.key, answer.tokens, now_ms())
+        self._keeper.record_release(customer, seat.key, answer.tokens, now_ms())
         log_state_change(
             self._log,
             "quota handed over",
--- a/src/crocusspindle/gateway/reading.py
+++ b/src/crocusspindle/gateway/reading.py
@@ -260,7 +260,7 @@
         if value is not None:
             self._knowledge.take_configuration(value, began_ms)
         elif belief.content is not None and not whole:
-            belief.prove(belief.version, began_ms)
+            belief.confirm(belief.version, began_ms)
 
     async def _take_targets(
         self, changes: Changes, whole: bool, began_ms: float
@@ -317,7 +317,7 @@
                 self._written_crashes[record.content] = record
                 self._knowledge.take_crashes([record])
         belief = self._knowledge.view
-        belief.prove(belief.version, began_ms)
+        belief.confirm(belief.version, began_ms)
 
     async def write_view(self, view: View) -> bool:
         """Write a view over the one in force; return True if it is the newest now."""
--- a/src/crocusspindle/gateway/repeat_sharing.py
+++ b/src/crocusspindle/gateway/repeat_sharing.py
@@ -4,8 +4,8 @@
 from typing import Final
 
 from crocusspindle.clock import now_ms
-from crocusspindle.core.repeat_budget import RepeatBudget
-from crocusspindle.core.repeat_record import RepeatRecord, Slot
+from crocusspindle.core.retry_budget import RetryBudget
+from crocusspindle.core.retry_record import RetryRecord, Slot
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.gateway.messages import RepeatsNote
 from crocusspindle.gateway.placer_ranks import PlacerRanks
@@ -25,20 +25,20 @@
         self._own = node.incarnation
         self._bounds = bounds
         self._ranks = ranks
-        self._budgets: dict[ServiceId, RepeatBudget] = {}
+        self._budgets: dict[ServiceId, RetryBudget] = {}
         self._logged_ms = -math.inf
         self._log = Logger("placing")
 
-    def budget(self, service: ServiceId) -> RepeatBudget:
+    def budget(self, service: ServiceId) -> RetryBudget:
         """Return the budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
             bounds = self._bounds.now
-            budget = RepeatBudget(
+            budget = RetryBudget(
                 bounds.budget_ratio, bounds.budget_extra, bounds.budget_window_ms
             )
             budget.set_rank(self._ranks.own_rank(service), now_ms())
-            budget.knows_since(self._ranks.told_since_ms(service))
+            budget.set_known_since(self._ranks.told_since_ms(service))
             self._budgets[service] = budget
         return budget
 
@@ -51,20 +51,20 @@
     def tell_if_due(self, service: ServiceId) -> None:
         """Tell the other placers what was counted, if they should know by now."""
         budget = self.budget(service)
-        if budget.is_due_to_tell(now_ms()):
+        if budget.is_publish_due(now_ms()):
             self._tell(service, budget)
 
-    def _tell(self, service: ServiceId, budget: RepeatBudget) -> None:
+    def _tell(self, service: ServiceId, budget: RetryBudget) -> None:
         at_ms = now_ms()
         records = [_packed(one, at_ms) for one in budget.records(self._own, at_ms)]
         known_ms = round(budget.known_ms(at_ms))
         self._ranks.tell_others(service, RepeatsNote(service, known_ms, records))
 
-    def hear(self, note: RepeatsNote) -> None:
+    def receive(self, note: RepeatsNote) -> None:
         """Take over what another placer counted."""
         at_ms = now_ms()
         records = [
-            RepeatRecord(
+            RetryRecord(
                 origin,
                 number,
                 tuple(Slot(at_ms - age_ms, *counts) for age_ms, *counts in slots),
@@ -72,7 +72,7 @@
             for origin, number, slots in note.records
         ]
         budget = self.budget(ServiceId(note.service))
-        budget.hear(self._own, records, note.known_ms, at_ms)
+        budget.receive(self._own, records, note.known_ms, at_ms)
 
     def log_bound(self, service: ServiceId) -> None:
         """Tell what bounds a service's repeats, once a second at most.
@@ -96,9 +96,9 @@
         )
 
 
-def _packed(record: RepeatRecord, at_ms: float) -> list[object]:
+def _packed(record: RetryRecord, at_ms: float) -> list[object]:
     slots = [
-        [round(at_ms - slot.ended_ms), slot.requests, slot.repeats]
+        [round(at_ms - slot.ended_ms), slot.requests, slot.retries]
         for slot in record.slots
     ]
     return [record.origin, record.number, slots]
--- a/src/crocusspindle/gateway/reported_limits.py
+++ b/src/crocusspindle/gateway/reported_limits.py
@@ -22,7 +22,7 @@
     def take(self, report: LimitReport) -> None:
         """Take over what an answer named, which this node has passed on."""
         known = self._reports.get(report.target)
-        if known is not None and known.asked_ms > report.asked_ms:
+        if known is not None and known.sent_ms > report.sent_ms:
             return
         if report.limit_per_s is None:
             self._reports.pop(report.target, None)
@@ -34,9 +34,7 @@
         if not self._reports:
             return []
         since_ms = now_ms - REMEMBERED_MS
-        self._reports = {
-            t: s for t, s in self._reports.items() if s.asked_ms > since_ms
-        }
+        self._reports = {t: s for t, s in self._reports.items() if s.sent_ms > since_ms}
         return list(self._reports.values())
 
 
@@ -45,7 +43,7 @@
 ) -> list[tuple[str, float, int]]:
     """Return limits as plain lists; what says nothing is left out."""
     return [
-        (report.target, report.limit_per_s, round(now_ms - report.asked_ms))
+        (report.target, report.limit_per_s, round(now_ms - report.sent_ms))
         for report in limits
         if report.limit_per_s is not None
     ]
--- a/src/crocusspindle/gateway/sending.py
+++ b/src/crocusspindle/gateway/sending.py
@@ -6,7 +6,7 @@
 
 from crocusspindle.clock import now_ms
 from crocusspindle.core.asks import Ask
-from crocusspindle.core.configuration import LOWEST_PRIORITY, choose_part
+from crocusspindle.core.configuration import LOWEST_PRIORITY, choose_service
 from crocusspindle.core.target_gauge import Ending
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.gateway import instruments
@@ -54,7 +54,7 @@
 
     async def send(self, case: Case) -> Sent:
         """Return how the last sending ended; raise ``Refusal`` if none took place."""
-        service = choose_part(case.route.parts, self._draw.random())
+        service = choose_service(case.route.weighted_services, self._draw.random())
         repeat = False
         last: Sent | None = None
         while True:
--- a/src/crocusspindle/gateway/updates.py
+++ b/src/crocusspindle/gateway/updates.py
@@ -31,7 +31,7 @@
         self._packed: dict[int, Packed] = {}
         self.newest = b""
 
-    def take(self, key: int, form: bytes) -> None:
+    def update(self, key: int, form: bytes) -> None:
         """Take the form that is in force."""
         self._forms.pop(key, None)
         self._forms[key] = form
--- a/src/crocusspindle/gateway/view_keeper.py
+++ b/src/crocusspindle/gateway/view_keeper.py
@@ -5,14 +5,14 @@
 from typing import Final
 
 from crocusspindle.clock import now_ms
-from crocusspindle.core.reader_choice import READER_DUTY
+from crocusspindle.core.reader_choice import READER_ROLE
 from crocusspindle.core.view import (
     NodeAddress,
-    SeatKey,
     View,
-    by_capacity,
+    ViewEntryKey,
     members_changed,
     next_view,
+    rank_by_capacity,
 )
 from crocusspindle.gateway.exchange import Exchange
 from crocusspindle.gateway.knowledge import Knowledge
@@ -52,13 +52,13 @@
         exchange: Exchange,
         knowledge: Knowledge,
         reading: Reading,
-        over: Callable[[], set[SeatKey]],
+        expired_keys: Callable[[], set[ViewEntryKey]],
     ) -> None:
         self._node = node
         self._exchange = exchange
         self._knowledge = knowledge
         self._reading = reading
-        self._over = over
+        self._over = expired_keys
         self._number_seen = -1
         self._seen_ms = now_ms()
 
@@ -110,7 +110,7 @@
         # customers would have no keeper.
         named = present.keys() if view is None else view.by_host.keys()
         eligible = [node for host, node in present.items() if host in named]
-        ranked = by_capacity(READER_DUTY, eligible or present.values())
+        ranked = rank_by_capacity(READER_ROLE, eligible or present.values())
         return bool(ranked) and ranked[0] == self._node.host
 
     def _hears_few(self, view: View, present: Present, age_ms: float) -> bool:
@@ -120,7 +120,7 @@
         # nodes that read for themselves put itself back. Whoever hears less than half
         # waits long enough for the others' reader to show itself. Until then it names
         # the new processes of members: of a fleet that comes back, some come first.
-        if 2 * len(present) > len(view.seats):
+        if 2 * len(present) > len(view.entries):
             return False
         quiet_ms = now_ms() - self._seen_ms
         return min(age_ms, quiet_ms) < REMOVE_MOST_AFTER_MS
--- a/src/crocusspindle/platform/documents.py
+++ b/src/crocusspindle/platform/documents.py
@@ -9,9 +9,9 @@
     CallerLimits,
     Configuration,
     CustomerRule,
-    Part,
     RequestKind,
     RouteRule,
+    WeightedService,
     key_digest,
 )
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
@@ -56,16 +56,16 @@
 
 
 def _route(name: str, entry: Mapping[str, Any]) -> RouteRule:
-    parts = tuple(
-        Part(ServiceId(str(part["service"])), float(part["weight"]))
+    weighted_services = tuple(
+        WeightedService(ServiceId(str(part["service"])), float(part["weight"]))
         for part in entry.get("split", ())
-    ) or (Part(ServiceId(str(entry["service"])), 1.0),)
+    ) or (WeightedService(ServiceId(str(entry["service"])), 1.0),)
     return RouteRule(
         name=name,
         host=str(entry["host"]).lower(),
         prefix=str(entry["prefix"]),
         kind=RequestKind(entry.get("kind", "unsafe")),
-        parts=parts,
+        weighted_services=weighted_services,
         timeout_ms=float(entry["timeout_s"]) * 1e3,
         aim_ms=float(entry.get("target_latency_s", entry["timeout_s"])) * 1e3,
         attempts=int(entry.get("attempts", 1)),
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -14,12 +14,12 @@
     Arrival,
     AttemptEnd,
     Cancel,
+    CoordinatorLoad,
+    CoordinatorStatus,
     Decision,
     Dispatch,
     Fail,
     Finish,
-    HomeLoad,
-    HomeStatus,
     Outcome,
     Refuse,
 )
@@ -160,11 +160,11 @@
         """Give up what is queued under a withdrawn key."""
         self._carry_out(self._home.revoke(credential, now_ms()))
 
-    def load(self) -> HomeLoad:
+    def load(self) -> CoordinatorLoad:
         """Return how loaded the group is."""
         return self._home.load()
 
-    def status(self) -> tuple[HomeStatus, tuple[TargetHealth, ...]]:
+    def status(self) -> tuple[CoordinatorStatus, tuple[TargetHealth, ...]]:
         """Return what operators see of the group."""
         now = now_ms()
         return self._home.snapshot(), self._health.snapshot(now)
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from crocusspindle.clock import now_ms, remaining_s
-from crocusspindle.core.decisions import HomeLoad, Outcome
+from crocusspindle.core.decisions import CoordinatorLoad, Outcome
 from crocusspindle.core.groups import Group, GroupChooser
 from crocusspindle.core.members import MemberView
 from crocusspindle.core.rendezvous import order
@@ -291,7 +291,7 @@
 
     def _note_load(self, handling: Handling, load: wire.Load) -> None:
         if handling.group is not None:
-            seen = HomeLoad(load.queued, load.running, load.slots, load.wait_ms)
+            seen = CoordinatorLoad(load.queued, load.running, load.slots, load.wait_ms)
             self._chooser.update_load(handling.group, seen)
 
     async def _allow(self, handling: Handling, link: EntryLink) -> GivenUp | None:
--- a/src/crocusspindle/services/home.py
+++ b/src/crocusspindle/services/home.py
@@ -12,7 +12,7 @@
 from crocusspindle import instruments
 from crocusspindle.clock import now_ms
 from crocusspindle.core.coordinator_settings import CoordinatorSettings
-from crocusspindle.core.decisions import HomeLoad, HomeStatus, Outcome
+from crocusspindle.core.decisions import CoordinatorLoad, CoordinatorStatus, Outcome
 from crocusspindle.core.health import GroupHealth
 from crocusspindle.core.health_state import (
     Ejected,
@@ -164,7 +164,7 @@
 
     def groups(
         self,
-    ) -> list[tuple[ServiceId, HomeStatus, tuple[TargetHealth, ...]]]:
+    ) -> list[tuple[ServiceId, CoordinatorStatus, tuple[TargetHealth, ...]]]:
         """Return the groups homed here as they stand."""
         return [
             (service, *runner.status())
@@ -264,7 +264,7 @@
             log_state_change(self._logger, kind, group=runner.name, **fields)
 
 
-def load_message(load: HomeLoad) -> wire.Load:
+def load_message(load: CoordinatorLoad) -> wire.Load:
     """Return a group's load as entries get it."""
     return wire.Load(
         queued=load.queued,
--- a/src/crocusspindle_standins/virtual/fleet.py
+++ b/src/crocusspindle_standins/virtual/fleet.py
@@ -203,8 +203,8 @@
         row = self.store.tables[Table.FLEET].get("view")
         if row is None or row.value is None:
             return 0
-        _, seats, _ = json.loads(row.value)
-        named = {seat[1] for seat in seats}
+        _, entries, _ = json.loads(row.value)
+        named = {seat[1] for seat in entries}
         running = {node.address.incarnation for node in self.nodes.values()}
         return len(named & running)
 
--- a/tests/core/test_floor_under_trouble.py
+++ b/tests/core/test_floor_under_trouble.py
@@ -8,7 +8,7 @@
 
 from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
-from crocusspindle.core.repeat_budget import RepeatBudget
+from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
 from crocusspindle.core.target_gauge import Ending
 from crocusspindle.ids import DomainId, HostId, ServiceId
@@ -107,7 +107,7 @@
         self._rng = random.Random(seed)
         self._faults = faults
         self._idempotent_share = idempotent_share
-        self.placer = ServicePlacer(FLOOR_SHARE, RepeatBudget(0.2, 200.0, 10_000.0))
+        self.placer = ServicePlacer(FLOOR_SHARE, RetryBudget(0.2, 200.0, 10_000.0))
         self.placer.set_targets(
             [_listed_target(number) for number in range(TARGETS)], 0.0
         )
--- a/tests/core/test_groups.py
+++ b/tests/core/test_groups.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from crocusspindle.core.group_coordinator import HomeLoad
+from crocusspindle.core.group_coordinator import CoordinatorLoad
 from crocusspindle.core.groups import GroupChooser, partition_targets
 
 TARGETS = [f"10.0.{index // 250}.{index % 250}:80" for index in range(1_000)]
@@ -48,8 +48,8 @@
     groups = partition_targets("bayaran", TARGETS[:40])
     chooser = GroupChooser(random.Random(1))
     for group in groups:
-        chooser.update_load(group, HomeLoad(0, 0, 24, 0.0))
-    chooser.update_load(groups[0], HomeLoad(50, 24, 24, 400.0))
+        chooser.update_load(group, CoordinatorLoad(0, 0, 24, 0.0))
+    chooser.update_load(groups[0], CoordinatorLoad(50, 24, 24, 400.0))
     chosen = Counter(chooser.choose(groups).number for _ in range(400))
     assert chosen[0] < 0.15 * 400
     assert min(chosen[group.number] for group in groups[1:]) > 0.2 * 400
--- a/tests/core/test_placing_apart.py
+++ b/tests/core/test_placing_apart.py
@@ -5,7 +5,7 @@
 from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.crash_table import CrashReport, CrashTable
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
-from crocusspindle.core.repeat_budget import RepeatBudget
+from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
 from crocusspindle.core.target_gauge import Ending
 from crocusspindle.ids import ContentDigest, DomainId, HostId, ServiceId
@@ -20,7 +20,7 @@
 
 
 def make_placer(table, count, slots=2):
-    placer = ServicePlacer(0.7, RepeatBudget(0.2, 58.0, 10_000.0), crashes=table)
+    placer = ServicePlacer(0.7, RetryBudget(0.2, 58.0, 10_000.0), crashes=table)
     listed = [
         ListedTarget(
             TargetIdentity(f"t{number}"),
--- a/tests/core/test_placing_limits.py
+++ b/tests/core/test_placing_limits.py
@@ -8,7 +8,7 @@
 from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
 from crocusspindle.core.rate_limit import LimitReport
-from crocusspindle.core.repeat_budget import RepeatBudget
+from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
 from crocusspindle.core.target_gauge import Ending
 from crocusspindle.ids import DomainId, HostId, ServiceId
@@ -23,7 +23,7 @@
     """Send requests at random to a service some of whose targets report a limit."""
 
     def __init__(self, targets, limits_per_s, requests_per_s, urgent_fraction=0.5):
-        self.placer = ServicePlacer(0.7, RepeatBudget(0.2, 58.0, 10_000.0))
+        self.placer = ServicePlacer(0.7, RetryBudget(0.2, 58.0, 10_000.0))
         self.limits = {
             TargetIdentity(f"t{n}"): limit for n, limit in enumerate(limits_per_s)
         }
--- a/tests/core/test_quota_keeper.py
+++ b/tests/core/test_quota_keeper.py
@@ -68,7 +68,9 @@
     later = next_view(view, present(second))
     assert [entry.node.host for entry in later.fenced] == [first]
     successor.set_view(later, 1_000.0, 1_000.0)
-    assert [entry.node.host for entry in successor.to_clear(CLUB, 1_000.0)] == [first]
+    assert [entry.node.host for entry in successor.pending_releases(CLUB, 1_000.0)] == [
+        first
+    ]
     successor.set_view(later, 3_900.0, 3_900.0)
     assert isinstance(successor.spend(CLUB, 0.0, 3_900.0), NotKept)
     successor.set_view(later, 4_001.0, 4_001.0)
@@ -106,11 +108,11 @@
     later = next_view(view, present("a", "b"))
     successor = keeper(first, later, 0.0)
     assert isinstance(successor.spend(CLUB, 0.0, 0.0), NotKept)
-    (pending,) = successor.to_clear(CLUB, 0.0)
+    (pending,) = successor.pending_releases(CLUB, 0.0)
     assert pending.node.host == second
     tokens = previous_keeper.release(CLUB, later.number, 0.0)
     assert isinstance(previous_keeper.spend(CLUB, 0.0, 0.0), NotKept)
-    successor.released(CLUB, pending.key, tokens, 0.0)
+    successor.record_release(CLUB, pending.key, tokens, 0.0)
     assert admitted(successor, 0.0, 9) == 3
 
 
@@ -122,13 +124,15 @@
     first, second = by_rank("a", "b")
     view = next_view(None, present("a", "b"))
     successor = keeper(second, next_view(view, present(second)), 0.0)
-    (entry,) = successor.to_clear(CLUB, 0.0)
-    successor.released(CLUB, entry.key, 0.0, 0.0)
-    assert not successor.to_clear(CLUB, 0.0)
+    (entry,) = successor.pending_releases(CLUB, 0.0)
+    successor.record_release(CLUB, entry.key, 0.0, 0.0)
+    assert not successor.pending_releases(CLUB, 0.0)
     back = next_view(successor._view, present("a", "b"))
     removed_again = next_view(back, present(second))
     successor.set_view(removed_again, 100.0, 100.0)
-    assert [entry.node.host for entry in successor.to_clear(CLUB, 100.0)] == [first]
+    assert [entry.node.host for entry in successor.pending_releases(CLUB, 100.0)] == [
+        first
+    ]
 
 
 def test_a_node_that_joins_above_a_silent_keeper_waits_for_it():
@@ -139,7 +143,9 @@
     first, second = by_rank("a", "b")
     view = next_view(None, present(second))
     successor = keeper(first, next_view(view, present(first)), 0.0)
-    assert [entry.node.host for entry in successor.to_clear(CLUB, 0.0)] == [second]
+    assert [entry.node.host for entry in successor.pending_releases(CLUB, 0.0)] == [
+        second
+    ]
 
 
 def test_a_confirmation_that_expired_while_views_changed_empties_the_bucket():
@@ -187,9 +193,9 @@
             keepers[name] = new_keeper(nodes[HostId(name)], now_ms)
         cut = {n: until for n, until in cut.items() if until > now_ms}
         reachable = {h: n for h, n in nodes.items() if h not in cut}
-        member_nodes = {entry.node.host: entry.node for entry in view.seats}
+        member_nodes = {entry.node.host: entry.node for entry in view.entries}
         if member_nodes != reachable and rng.random() < 0.1 and reachable:
-            expired = set().union(*(keepers[h].over(now_ms) for h in reachable))
+            expired = set().union(*(keepers[h].expired_keys(now_ms) for h in reachable))
             view = next_view(view, reachable, expired)
         for name in names:
             if name not in cut and rng.random() < 0.3:
@@ -198,7 +204,7 @@
             continue
         for name in names:
             result = keepers[name].spend(CLUB, 0.0, now_ms)
-            if isinstance(result, NotKept) and keepers[name].is_heir(CLUB):
+            if isinstance(result, NotKept) and keepers[name].ranks_first(CLUB):
                 _collect_releases(name, keepers, nodes, cut, now_ms)
                 result = keepers[name].spend(CLUB, 0.0, now_ms)
             if isinstance(result, Admitted):
@@ -210,12 +216,12 @@
 
 def _collect_releases(name, keepers, nodes, cut, now_ms) -> None:
     number = keepers[name]._view.number
-    for pending in keepers[name].to_clear(CLUB, now_ms):
+    for pending in keepers[name].pending_releases(CLUB, now_ms):
         host = pending.node.host
         if host in cut or name in cut:
             continue
         tokens = keepers[host].release(CLUB, number, now_ms)
-        keepers[name].released(CLUB, pending.key, tokens, now_ms)
+        keepers[name].record_release(CLUB, pending.key, tokens, now_ms)
 
 
 def test_a_new_process_is_not_the_member_that_its_host_was():
--- a/tests/core/test_quota_opening.py
+++ b/tests/core/test_quota_opening.py
@@ -44,7 +44,7 @@
     club = keeper(first, view, 0.0)
     for now_ms in (2_000.0, 4_000.0, 6_000.0, 8_000.0):
         club.set_view(view, now_ms, now_ms)
-    assert not club.to_clear(CLUB, 8_000.0)
+    assert not club.pending_releases(CLUB, 8_000.0)
     assert admitted(club, 8_000.0, 9) == 5
 
 
--- a/tests/core/test_rate_limit.py
+++ b/tests/core/test_rate_limit.py
@@ -19,7 +19,7 @@
 
 def limited(limit_per_s):
     limit = RateLimit()
-    limit.take(report(limit_per_s, 0.0), 0.0)
+    limit.apply_report(report(limit_per_s, 0.0), 0.0)
     return limit
 
 
@@ -28,7 +28,7 @@
     times = []
     for at_ms in range(0, for_ms, step_ms):
         if limit.allows(at_ms):
-            limit.sent(at_ms)
+            limit.record_sent(at_ms)
             times.append(at_ms)
     return times
 
@@ -46,7 +46,7 @@
     limit = limited(10.0)
     allowed = 0
     while limit.allows(60_000.0):
-        limit.sent(60_000.0)
+        limit.record_sent(60_000.0)
         allowed += 1
     assert allowed == 5
 
@@ -59,36 +59,36 @@
 
 def test_requests_of_other_placers_count():
     limit = limited(1.0)
-    limit.sent(1_000.0)
+    limit.record_sent(1_000.0)
     assert not limit.allows(1_000.0)
 
 
 def test_an_older_response_does_not_replace_a_newer_limit():
     """Guards against responses that arrive out of order."""
     limit = limited(10.0)
-    assert limit.take(report(1.0, 2_000.0), 2_100.0)
-    assert not limit.take(report(10.0, 1_000.0), 2_200.0)
+    assert limit.apply_report(report(1.0, 2_000.0), 2_100.0)
+    assert not limit.apply_report(report(10.0, 1_000.0), 2_200.0)
     for _ in range(RESPONSES_WITHOUT_LIMIT + 1):
-        assert not limit.take(report(None, 1_900.0), 2_300.0)
+        assert not limit.apply_report(report(None, 1_900.0), 2_300.0)
     assert limit.limit_per_s == pytest.approx(1.0)
 
 
 def test_responses_without_a_limit_clear_it():
     limit = limited(1.0)
     ended = [
-        limit.take(report(None, 100.0 + n), 200.0 + n)
+        limit.apply_report(report(None, 100.0 + n), 200.0 + n)
         for n in range(RESPONSES_WITHOUT_LIMIT)
     ]
     assert ended == [False] * (RESPONSES_WITHOUT_LIMIT - 1) + [True]
-    assert not limit.holds and limit.allows(300.0)
+    assert not limit.is_active and limit.allows(300.0)
 
 
 def test_a_response_that_names_the_limit_again_renews_it():
     limit = limited(1.0)
-    limit.take(report(None, 100.0), 150.0)
-    limit.take(report(1.0, 200.0), 250.0)
-    limit.take(report(None, 300.0), 350.0)
-    assert limit.holds
+    limit.apply_report(report(None, 100.0), 150.0)
+    limit.apply_report(report(1.0, 200.0), 250.0)
+    limit.apply_report(report(None, 300.0), 350.0)
+    assert limit.is_active
 
 
 def test_a_target_with_a_limit_of_zero_is_probed():
--- a/tests/core/test_repeats_across_placers.py
+++ b/tests/core/test_retries_across_placers.py
@@ -3,7 +3,7 @@
 import pytest
 
 from crocusspindle.core.asks import Ask
-from crocusspindle.core.repeat_budget import RepeatBudget
+from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
 from crocusspindle.ids import DomainId, HostId
 
@@ -19,7 +19,7 @@
     """Hold the budgets of several placers of a service, one of which gets requests."""
 
     def __init__(self, count: int) -> None:
-        self.budgets = [RepeatBudget(RATIO, EXTRA, WINDOW_MS) for _ in range(count)]
+        self.budgets = [RetryBudget(RATIO, EXTRA, WINDOW_MS) for _ in range(count)]
         self.first = 0
         self.requests: list[float] = []
         self.retries: list[float] = []
@@ -38,7 +38,7 @@
         for number, other in enumerate(self.budgets):
             if number != sender:
                 known_ms = budget.known_ms(now_ms)
-                other.hear(f"p{number}", records, known_ms, now_ms)
+                other.receive(f"p{number}", records, known_ms, now_ms)
 
     def pass_time(self, from_s: float, to_s: float, refused: bool) -> None:
         """Send requests; each is retried three times if targets refuse them."""
@@ -51,7 +51,7 @@
             for _ in range(3 if refused else 0):
                 if budget.repeat(now_ms):
                     self.retries.append(now_ms)
-                if budget.is_due_to_tell(now_ms):
+                if budget.is_publish_due(now_ms):
                     self.publish(self.first, now_ms)
             now_ms += step_ms
 
@@ -97,8 +97,8 @@
     placement_request = Ask(
         HostId("entry"), DomainId("a"), "r", False, 1, 800.0, 2_000.0, counted=True
     )
-    budget = RepeatBudget(RATIO, 0.0, WINDOW_MS)
-    budget.knows_since(-2 * WINDOW_MS)
+    budget = RetryBudget(RATIO, 0.0, WINDOW_MS)
+    budget.set_known_since(-2 * WINDOW_MS)
     placer = ServicePlacer(0.7, budget)
     for now_ms in range(100):
         placer.ask(placement_request, float(now_ms))
@@ -124,7 +124,7 @@
 
     The three may have used the whole bound just before.
     """
-    budget = RepeatBudget(RATIO, EXTRA, WINDOW_MS)
+    budget = RetryBudget(RATIO, EXTRA, WINDOW_MS)
     used = 0
     for now_ms in range(0, 9_000, 2):
         budget.request(float(now_ms))
--- a/tests/core/test_repeats_and_doubt.py
+++ b/tests/core/test_retries_and_suspicion.py
@@ -11,13 +11,13 @@
     Readiness,
     TargetIdentity,
 )
-from crocusspindle.core.repeat_budget import RepeatBudget
+from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.ids import DomainId, ServiceId
 
 WINDOW_MS = 10_000.0
 
 
-def allowed_retries(budget: RepeatBudget, from_ms: float, to_ms: float) -> int:
+def allowed_retries(budget: RetryBudget, from_ms: float, to_ms: float) -> int:
     """Try to retry each of 40 requests a second, and return the retries allowed."""
     allowed = 0
     now_ms = from_ms
@@ -34,10 +34,10 @@
     The successor does not know the earlier retries. With a whole allowance of its own,
     the service would get half as many retries again during an incident.
     """
-    first = RepeatBudget(0.2, 58.0, WINDOW_MS)
+    first = RetryBudget(0.2, 58.0, WINDOW_MS)
     allowed_retries(first, 0.0, WINDOW_MS)
     before = allowed_retries(first, WINDOW_MS, WINDOW_MS + 5_000.0)
-    successor = RepeatBudget(0.2, 58.0, WINDOW_MS)
+    successor = RetryBudget(0.2, 58.0, WINDOW_MS)
     after = allowed_retries(successor, WINDOW_MS + 5_000.0, 2 * WINDOW_MS)
     assert before + after <= 0.2 * 400 + 58
 
@@ -48,7 +48,7 @@
     Each placer counts by itself. With a whole allowance each, the service would get
     twice its bound of retries while its entries are cut off from one another.
     """
-    budgets = [RepeatBudget(0.2, 58.0, WINDOW_MS) for _ in range(4)]
+    budgets = [RetryBudget(0.2, 58.0, WINDOW_MS) for _ in range(4)]
     for rank, budget in enumerate(budgets):
         budget.set_rank(rank, 0.0)
         allowed_retries(budget, 0.0, 2 * WINDOW_MS)
@@ -61,7 +61,7 @@
 
     The second placer knows its own retries, but not those of the first.
     """
-    first, second = (RepeatBudget(0.2, 58.0, WINDOW_MS) for _ in range(2))
+    first, second = (RetryBudget(0.2, 58.0, WINDOW_MS) for _ in range(2))
     second.set_rank(1, 0.0)
     allowed_retries(first, 0.0, WINDOW_MS)
     allowed_retries(second, 0.0, WINDOW_MS)
@@ -72,7 +72,7 @@
 
 
 def test_a_placer_that_knows_its_window_uses_most_of_the_bound():
-    budget = RepeatBudget(0.2, 58.0, WINDOW_MS)
+    budget = RetryBudget(0.2, 58.0, WINDOW_MS)
     allowed_retries(budget, 0.0, 2 * WINDOW_MS)
     used = allowed_retries(budget, 2 * WINDOW_MS, 3 * WINDOW_MS)
     assert 0.8 * (0.2 * 400 + 58) <= used <= 0.2 * 400 + 58
--- a/tests/core/test_service_placer.py
+++ b/tests/core/test_service_placer.py
@@ -12,7 +12,7 @@
     Readiness,
     TargetIdentity,
 )
-from crocusspindle.core.repeat_budget import RepeatBudget
+from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
 from crocusspindle.core.target_gauge import Ending, Standing
 from crocusspindle.ids import DomainId, HostId, ServiceId
@@ -35,7 +35,7 @@
 
 
 def make_placer(count: int = 8, slots: int = 2) -> ServicePlacer:
-    placer = ServicePlacer(0.7, RepeatBudget(0.2, 58.0, 10_000.0))
+    placer = ServicePlacer(0.7, RetryBudget(0.2, 58.0, 10_000.0))
     placer.set_targets(listed_targets(count, slots), 0.0)
     return placer
 
@@ -369,7 +369,7 @@
     Its request asks for a hedge again and again. If each one were counted, the service
     would have no retries left when there is a free slot.
     """
-    books = ServicePlacer(0.7, RepeatBudget(0.0, 10.0, 10_000.0))
+    books = ServicePlacer(0.7, RetryBudget(0.0, 10.0, 10_000.0))
     books.set_targets(listed_targets(2), 0.0)
     books.ask(request(idempotent=True), 0.0)
     fields = {"idempotent": True, "repeat": True, "hedge": True}
--- a/tests/core/test_view.py
+++ b/tests/core/test_view.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crocusspindle.core.proof import Belief
+from crocusspindle.core.versioned_state import VersionedState
 from crocusspindle.core.view import NodeAddress, View, members_changed, next_view
 from crocusspindle.ids import DomainId, HostId, Incarnation
 
@@ -22,7 +22,7 @@
 def test_a_member_that_stays_keeps_the_number_of_its_first_view():
     first = next_view(None, present("a", "b"))
     second = next_view(first, present("a", "b", "c"))
-    joined = {entry.node.host: entry.joined for entry in second.seats}
+    joined = {entry.node.host: entry.joined for entry in second.entries}
     assert joined == {"a": 1, "b": 1, "c": 2}
 
 
@@ -38,7 +38,7 @@
 def test_a_member_that_returns_joins_anew():
     first = next_view(None, present("a", "b"))
     back = next_view(next_view(first, present("a")), present("a", "b"))
-    assert {entry.node.host: entry.joined for entry in back.seats} == {"a": 1, "b": 3}
+    assert {entry.node.host: entry.joined for entry in back.entries} == {"a": 1, "b": 3}
 
 
 def test_a_new_process_on_a_host_is_a_change():
@@ -52,20 +52,20 @@
 
     Applying it would serve a removed route and a withdrawn key.
     """
-    state: Belief[str] = Belief()
-    assert state.take("new", 7, 100.0)
-    assert not state.take("old", 6, 200.0)
-    assert (state.content, state.version, state.proved_at_ms) == ("new", 7, 100.0)
+    state: VersionedState[str] = VersionedState()
+    assert state.update("new", 7, 100.0)
+    assert not state.update("old", 6, 200.0)
+    assert (state.content, state.version, state.confirmed_at_ms) == ("new", 7, 100.0)
 
 
 def test_only_a_confirmation_of_the_known_version_counts():
     """A reader confirms version 8 as the newest while this node has version 7."""
-    state: Belief[str] = Belief()
-    state.take("seven", 7, 100.0)
-    state.prove(8, 900.0)
+    state: VersionedState[str] = VersionedState()
+    state.update("seven", 7, 100.0)
+    state.confirm(8, 900.0)
     assert state.age_ms(1_000.0) == 900.0
-    state.prove(7, 800.0)
-    state.prove(7, 300.0)
+    state.confirm(7, 800.0)
+    state.confirm(7, 300.0)
     assert state.age_ms(1_000.0) == 200.0
 
 
--- a/tests/gateway/test_knowledge.py
+++ b/tests/gateway/test_knowledge.py
@@ -4,7 +4,7 @@
 
 from crocusspindle.clock import now_ms
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
-from crocusspindle.core.view import NodeAddress, Seat, View
+from crocusspindle.core.view import NodeAddress, View, ViewEntry
 from crocusspindle.gateway.knowledge import Held, Knowledge
 from crocusspindle.gateway.messages import State, pack, packed, unpack, unpacked
 from crocusspindle.ids import DomainId, HostId, Incarnation, ServiceId
@@ -22,7 +22,7 @@
     )
 
 
-def seat(number: int) -> Seat:
+def seat(number: int) -> ViewEntry:
     node = NodeAddress(
         HostId(f"n{number}"),
         Incarnation(f"{number:08x}"),
@@ -31,7 +31,7 @@
         DomainId("a"),
         "127.0.0.1:80",
     )
-    return Seat(node, 1)
+    return ViewEntry(node, 1)
 
 
 def sent(state: State) -> State:
@@ -86,7 +86,7 @@
     """
     reader, node = informed(), Knowledge(parse_configuration)
     node.take_state(state_for(reader, node), now_ms())
-    proved_at_ms = node.view.proved_at_ms
+    confirmed_at_ms = node.view.confirmed_at_ms
     reader.take_view(View(4, tuple(seat(n) for n in range(4))), now_ms())
     lost = reader.view.version
     reader.take_view(View(5, tuple(seat(n) for n in range(3))), now_ms())
@@ -96,7 +96,7 @@
     push = sent(reader.state_for(held))
     assert not node.take_state(push, now_ms() + 50.0)
     assert node.view.version == 3
-    assert node.view.proved_at_ms == proved_at_ms
+    assert node.view.confirmed_at_ms == confirmed_at_ms
 
 
 def configuration(version: int, text: str) -> bytes:
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -7,7 +7,7 @@
 
 from crocusspindle.clock import now_ms
 from crocusspindle.core.byte_pace import BytePace
-from crocusspindle.core.reader_choice import READER_DUTY, ReaderChoice
+from crocusspindle.core.reader_choice import READER_ROLE, ReaderChoice
 from crocusspindle.core.rendezvous import order
 from crocusspindle.core.view import View
 from crocusspindle.gateway.knowledge import Held
@@ -89,7 +89,7 @@
     wait for it to write the view: nobody asks it, so it never would, and the customers
     of all hosts that the view names under their former processes have no keeper.
     """
-    ranked = order(READER_DUTY, [seat(n).node.host for n in range(3)])
+    ranked = order(READER_ROLE, [seat(n).node.host for n in range(3)])
     numbers = {seat(n).node.host: n for n in range(3)}
     back = numbers[ranked[fenced_rank]]
     rest = [numbers[host] for host in ranked if numbers[host] != back]
@@ -118,4 +118,4 @@
         membership._pinged_ms[seat(number).node.host] = now_ms()
     await membership._views.renew(membership._present())
     (newest,) = written
-    assert {s.node.host for s in newest.seats} == set(ranked)
+    assert {s.node.host for s in newest.entries} == set(ranked)
--- a/tests/gateway/test_reading.py
+++ b/tests/gateway/test_reading.py
@@ -260,15 +260,15 @@
     store.removed.append("t2")
     await asyncio.sleep(0.1)
     assert listed(knowledge) == ["t1"]
-    proved_at_ms = knowledge.targets.proved_at_ms
+    confirmed_at_ms = knowledge.targets.confirmed_at_ms
     store.past, store.forgets = before, True
     await asyncio.sleep(0.15)
     assert listed(knowledge) == ["t1"]
-    assert knowledge.targets.proved_at_ms - proved_at_ms < 100
+    assert knowledge.targets.confirmed_at_ms - confirmed_at_ms < 100
     store.past = None
     await asyncio.sleep(0.15)
     assert listed(knowledge) == ["t1"]
-    assert knowledge.targets.proved_at_ms - proved_at_ms > 100
+    assert knowledge.targets.confirmed_at_ms - confirmed_at_ms > 100
 
 
 async def test_an_entry_that_cannot_be_read_names_no_target(fixture):
--- a/tests/gateway/test_updates.py
+++ b/tests/gateway/test_updates.py
@@ -24,10 +24,10 @@
     """
     reader, node = Forms(), Forms()
     before, after = form(members(40)), form(members(40)[:17] + members(40)[18:])
-    reader.take(1, before)
-    node.take(1, node.unpacked(reader.packed_for(WHOLE)))
+    reader.update(1, before)
+    node.update(1, node.unpacked(reader.packed_for(WHOLE)))
     assert node.newest == before
-    reader.take(2, after)
+    reader.update(2, after)
     base, data = reader.packed_for(1)
     assert base == 1
     assert len(data) < len(after) / 20
@@ -42,8 +42,8 @@
     """
     reader, node = Forms(), Forms()
     for key, count in ((1, 40), (2, 39), (3, 38)):
-        reader.take(key, form(members(count)))
-    node.take(1, form(members(40)))
+        reader.update(key, form(members(count)))
+    node.update(1, form(members(40)))
     assert node.unpacked(reader.packed_for(2)) is None
     assert node.unpacked(reader.packed_for(1)) == reader.newest
 
@@ -51,16 +51,16 @@
 def test_another_form_under_the_same_key_is_noticed():
     """Two readers number their lists alike, but the lists are not the same."""
     reader, node = Forms(), Forms()
-    reader.take(1, form(members(40)))
-    reader.take(2, form(members(41)))
-    node.take(1, form(members(39)))
+    reader.update(1, form(members(40)))
+    reader.update(2, form(members(41)))
+    node.update(1, form(members(39)))
     assert node.unpacked(reader.packed_for(1)) is None
 
 
 def test_a_peer_that_holds_a_forgotten_form_gets_the_whole():
     reader = Forms()
     for key in range(FORMS_KEPT + 2):
-        reader.take(key, form(members(key)))
+        reader.update(key, form(members(key)))
     base, data = reader.packed_for(0)
     assert base == WHOLE
     assert Forms().unpacked((base, data)) == reader.newest
@@ -71,11 +71,11 @@
     """Guards against sending a list of hundreds of targets whole at each change."""
     reader, node = Forms(), Forms()
     rows = members(count)
-    reader.take(1, form(rows))
-    node.take(1, form(rows))
+    reader.update(1, form(rows))
+    node.update(1, form(rows))
     gone = count // 2
     after = form(rows[:gone] + rows[gone + 1 :])
-    reader.take(2, after)
+    reader.update(2, after)
     base, data = reader.packed_for(1)
     assert base == 1
     assert len(data) < len(after) / 20
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crocusspindle.core.configuration import RequestKind, choose_part
+from crocusspindle.core.configuration import RequestKind, choose_service
 from crocusspindle.core.listed_target import Readiness
 from crocusspindle.errors import InvalidInputError, SettingsError
 from crocusspindle.platform.documents import parse_configuration, parse_target
@@ -84,8 +84,8 @@
 
 
 def test_parts_get_their_weights():
-    parts = parsed().route("hall.example", "/bowls/").parts
-    draws = [choose_part(parts, n / 1_000) for n in range(1_000)]
+    weighted_services = parsed().route("hall.example", "/bowls/").weighted_services
+    draws = [choose_service(weighted_services, n / 1_000) for n in range(1_000)]
     assert draws.count("new") == 100
 
 
