--- a/benchmarks/gray_targets.py
+++ b/benchmarks/gray_targets.py
@@ -20,12 +20,12 @@
 import fire
 
 from benchmarks.result_table import write_table
-from crocusspindle.core import target_gauge
-from crocusspindle.core.asks import Ask, Placed
+from crocusspindle.core import target_tracker
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
+from crocusspindle.core.placement_request import PlacementGranted, PlacementRequest
 from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
-from crocusspindle.core.target_gauge import Ending, Standing
+from crocusspindle.core.target_tracker import AttemptOutcome, EjectionState
 from crocusspindle.ids import DomainId, GrantId, HostId, ServiceId
 
 ROOT: Final = Path(__file__).parents[1]
@@ -44,10 +44,10 @@
 WINDOWS: Final = 40
 SEEDS: Final = 2
 BROKEN_AFTER_MS: Final = 1.0
-CHOSEN_NATS: Final = target_gauge.EJECT_NATS
+CHOSEN_NATS: Final = target_tracker.EJECT_NATS
 THRESHOLDS_NATS: Final = (3.0, CHOSEN_NATS, 9.0, 12.0, 16.0)
 IN_A_ROW: Final = 5
-EJECTION_MS: Final = target_gauge.EJECTION_MS
+EJECTION_MS: Final = target_tracker.EJECTION_MS
 
 
 @dataclass(frozen=True)
@@ -56,13 +56,13 @@
 
     name: str
     share: float
-    ending: Ending
+    ending: AttemptOutcome
 
 
 FAULTS: Final = (
-    Fault("breaks all", 1.0, Ending.BROKEN),
-    Fault("fails 60 %", 0.6, Ending.ERROR),
-    Fault("hangs 50 %", 0.5, Ending.SILENT),
+    Fault("breaks all", 1.0, AttemptOutcome.BROKEN),
+    Fault("fails 60 %", 0.6, AttemptOutcome.ERROR),
+    Fault("hangs 50 %", 0.5, AttemptOutcome.SILENT),
 )
 
 
@@ -95,7 +95,7 @@
 
     def place(self, entry: int, now_ms: float) -> tuple[int, GrantId] | None:
         """Return a target and the grant for it; None if there is no room."""
-        ask = Ask(
+        placement_request = PlacementRequest(
             HostId(str(entry)),
             DomainId("a"),
             "pay",
@@ -104,8 +104,10 @@
             800.0,
             now_ms + DEADLINE_MS,
         )
-        answer = self._placers[entry % self.judges].ask(ask, now_ms)
-        if not isinstance(answer, Placed):
+        answer = self._placers[entry % self.judges].request_placement(
+            placement_request, now_ms
+        )
+        if not isinstance(answer, PlacementGranted):
             return None
         return int(answer.target.identity), answer.grant
 
@@ -123,7 +125,7 @@
     def ejected(self, entry: int) -> list[int]:
         """Return the targets that the entry's judge has ejected since the last call."""
         changes = self._placers[entry % self.judges].changes()
-        return [int(c.target) for c in changes if c.standing is Standing.EJECTED]
+        return [int(c.target) for c in changes if c.standing is EjectionState.EJECTED]
 
 
 class InARow:
@@ -155,7 +157,7 @@
         """Count the errors in a row."""
         target = end.target
         self._running[target] -= 1
-        answered = end.ending is Ending.ANSWERED
+        answered = end.ending is AttemptOutcome.ANSWERED
         self._row[target] = 0 if answered else self._row[target] + 1
         if self._row[target] >= IN_A_ROW:
             self._out_until_ms[target] = end.at_ms + EJECTION_MS
@@ -197,7 +199,7 @@
     entry: int
     target: int
     grant: GrantId
-    ending: Ending
+    ending: AttemptOutcome
     span_ms: float
 
 
@@ -244,16 +246,19 @@
         end = End(at_ms + span_ms, self._number, entry, target, grant, ending, span_ms)
         heapq.heappush(self._ends, end)
 
-    def _play(self, target: int, at_ms: float) -> tuple[Ending, float]:
+    def _play(self, target: int, at_ms: float) -> tuple[AttemptOutcome, float]:
         work_ms = WORK_MS * self._draw.lognormvariate(-(SPREAD**2) / 2, SPREAD)
         if target == self._gray(at_ms) and self._draw.random() < self._fault.share:
             self.outcome.lost += 1
             window, into_ms = divmod(at_ms, 2 * WINDOW_MS)
             self._last_lost_ms[int(window)] = into_ms - WINDOW_MS
-            spans = {Ending.BROKEN: BROKEN_AFTER_MS, Ending.SILENT: DEADLINE_MS}
+            spans = {
+                AttemptOutcome.BROKEN: BROKEN_AFTER_MS,
+                AttemptOutcome.SILENT: DEADLINE_MS,
+            }
             return self._fault.ending, spans.get(self._fault.ending, work_ms)
         failed = self._draw.random() < ERROR_SHARE
-        return (Ending.ERROR if failed else Ending.ANSWERED), work_ms
+        return (AttemptOutcome.ERROR if failed else AttemptOutcome.ANSWERED), work_ms
 
     def _end_until(self, at_ms: float) -> None:
         while self._ends and self._ends[0].at_ms <= at_ms:
@@ -277,12 +282,12 @@
 @contextmanager
 def threshold(nats: float) -> Iterator[None]:
     """Judge errors by another threshold; a broken connection still ejects."""
-    kept_nats = target_gauge.EJECT_NATS
-    target_gauge.EJECT_NATS = nats  # type: ignore[misc]  # a constant but for trials
+    kept_nats = target_tracker.EJECT_NATS
+    target_tracker.EJECT_NATS = nats  # type: ignore[misc]  # a constant but for trials
     try:
         yield
     finally:
-        target_gauge.EJECT_NATS = kept_nats  # type: ignore[misc]  # the same
+        target_tracker.EJECT_NATS = kept_nats  # type: ignore[misc]  # the same
 
 
 @dataclass(frozen=True)
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -20,7 +20,7 @@
 from benchmarks.placing_trial import BadPaths, Gray, PlacingTrial, Site, Work
 from benchmarks.result_table import write_table
 from crocusspindle.core.policies import Policies, Policy
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 
 ROOT: Final = Path(__file__).parents[1]
 BOUNDS_PATH: Final = ROOT / "benchmarks" / "bounds" / "placing.json"
@@ -38,7 +38,7 @@
 PAYMENT: Final = Work("payment", False, 59.2, 160.0, 0.3, 800.0, 2_500.0)
 
 
-def gray(ending: Ending, fails: float = 0.75) -> Gray:
+def gray(ending: AttemptOutcome, fails: float = 0.75) -> Gray:
     """Return windows of some seconds at each target, once in nine seconds or so."""
     return Gray(0.9, 9_000.0, 1_500.0, 3_500.0, fails, ending)
 
@@ -49,18 +49,20 @@
     return replace(site, works=works)
 
 
-BOOKINGS: Final = Site(20, 2, (LOOKUP, CONFIRM), gray(Ending.SILENT))
+BOOKINGS: Final = Site(20, 2, (LOOKUP, CONFIRM), gray(AttemptOutcome.SILENT))
 LOADS: Final = {
     "hangs": BOOKINGS,
     "hangs, 1.6 times": faster(BOOKINGS, 1.6),
     "hangs, over capacity": faster(BOOKINGS, 2.2),
-    "breaks": replace(BOOKINGS, gray=gray(Ending.BROKEN, 0.95)),
-    "fails": replace(BOOKINGS, gray=gray(Ending.ERROR, 0.6)),
+    "breaks": replace(BOOKINGS, gray=gray(AttemptOutcome.BROKEN, 0.95)),
+    "fails": replace(BOOKINGS, gray=gray(AttemptOutcome.ERROR, 0.6)),
     "refuses half": replace(
-        BOOKINGS, gray=Gray(1.0, 30e3, 8.5e3, 8.5e3, 0.55, Ending.SHED)
+        BOOKINGS, gray=Gray(1.0, 30e3, 8.5e3, 8.5e3, 0.55, AttemptOutcome.SHED)
+    ),
+    "long beside short": Site(16, 2, (UPLOAD, ARCHIVE), gray(AttemptOutcome.SILENT)),
+    "runs once only": Site(
+        15, 2, (PAYMENT,), gray(AttemptOutcome.BROKEN, 0.95), domains=4
     ),
-    "long beside short": Site(16, 2, (UPLOAD, ARCHIVE), gray(Ending.SILENT)),
-    "runs once only": Site(15, 2, (PAYMENT,), gray(Ending.BROKEN, 0.95), domains=4),
     "bad paths": replace(BOOKINGS, gray=None, paths=BadPaths(0.12, 0.3)),
     "cut paths": replace(BOOKINGS, gray=None, paths=BadPaths(0.2, 1.0)),
 }
--- a/benchmarks/placing_trial.py
+++ b/benchmarks/placing_trial.py
@@ -11,12 +11,17 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
+from crocusspindle.core.placement_request import (
+    PlacementGranted,
+    PlacementRefused,
+    PlacementRequest,
+    QueuedRequest,
+)
 from crocusspindle.core.policies import ALL_POLICIES, Policies
 from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.ids import DomainId, HostId, ServiceId
 
 BROKEN_AFTER_MS: Final = 1.0
@@ -63,7 +68,7 @@
     shortest_ms: float
     longest_ms: float
     fails: float
-    ending: Ending
+    ending: AttemptOutcome
     slow: float = 8.0
 
 
@@ -208,7 +213,7 @@
         self._oracle = oracle
         self._events: list[_Event] = []
         self._number = 0
-        self._held: list[tuple[_Request, Waiting, bool]] = []
+        self._held: list[tuple[_Request, QueuedRequest, bool]] = []
         self._budget = RetryBudget(site.budget_ratio, site.budget_extra, 10_000.0)
         # It is the only placer that the service ever had.
         self._budget.set_known_since(-math.inf)
@@ -244,7 +249,7 @@
         heapq.heappush(self._events, _Event(at_ms, self._number, act))
 
     def _settle(self, now_ms: float) -> None:
-        self.placer.settle(now_ms)
+        self.placer.process_due(now_ms)
         self._serve_held(now_ms)
         if now_ms < self._site.length_ms:
             self._at(now_ms + SETTLE_MS, self._settle)
@@ -264,11 +269,11 @@
         self._ask(request, False, now_ms)
 
     def _ask(
-        self, request: _Request, repeat: bool, now_ms: float, hedge: bool = False
+        self, request: _Request, retry: bool, now_ms: float, hedge: bool = False
     ) -> None:
         work = request.work
         spent_ms = now_ms - request.began_ms
-        ask = Ask(
+        placement_request = PlacementRequest(
             sender=request.entry,
             domain=request.domain,
             route=work.name,
@@ -276,13 +281,13 @@
             priority=work.priority,
             aim_ms=max(0.0, work.aim_ms - spent_ms),
             deadline_ms=request.ends_ms,
-            repeat=repeat,
+            retry=retry,
             hedge=hedge,
             excluded=frozenset(request.tried) | self._known_gray(now_ms),
         )
-        answer = self.placer.ask(ask, now_ms)
-        if isinstance(answer, Waiting):
-            self._held.append((request, answer, repeat))
+        answer = self.placer.request_placement(placement_request, now_ms)
+        if isinstance(answer, QueuedRequest):
+            self._held.append((request, answer, retry))
         else:
             self._follow(request, answer, now_ms)
 
@@ -297,16 +302,19 @@
 
     def _serve_held(self, now_ms: float) -> None:
         held, self._held = self._held, []
-        for request, waiting, repeat in held:
+        for request, waiting, retry in held:
             if waiting.settled is None:
-                self._held.append((request, waiting, repeat))
+                self._held.append((request, waiting, retry))
             else:
                 self._follow(request, waiting.settled, now_ms)
 
     def _follow(
-        self, request: _Request, answer: Placed | Refused, now_ms: float
+        self,
+        request: _Request,
+        answer: PlacementGranted | PlacementRefused,
+        now_ms: float,
     ) -> None:
-        if isinstance(answer, Placed):
+        if isinstance(answer, PlacementGranted):
             self._send(request, answer, now_ms)
         elif not request.running and not request.done:
             request.done = True
@@ -316,7 +324,7 @@
             else:
                 tally.refused += 1
 
-    def _send(self, request: _Request, placed: Placed, now_ms: float) -> None:
+    def _send(self, request: _Request, placed: PlacementGranted, now_ms: float) -> None:
         target = placed.target.identity
         tally = self.tallies[request.work.name]
         tally.sendings += 1
@@ -326,10 +334,10 @@
         ending, span_ms = self._outcome(request, int(target), now_ms)
         ends_ms = min(now_ms + span_ms, request.ends_ms)
         if ends_ms < now_ms + span_ms:
-            ending = Ending.SILENT
+            ending = AttemptOutcome.SILENT
         self._at(ends_ms, lambda at: self._ended(request, placed, ending, now_ms, at))
         first = request.arrived == 0
-        request.arrived += ending not in (Ending.SHED, Ending.UNREACHED)
+        request.arrived += ending not in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED)
         if first and request.work.idempotent and request.work.attempts > 1:
             hedge_ms = now_ms + placed.hedge_after_ms
             if hedge_ms < request.ends_ms:
@@ -346,40 +354,42 @@
 
     def _outcome(
         self, request: _Request, target: int, now_ms: float
-    ) -> tuple[Ending, float]:
+    ) -> tuple[AttemptOutcome, float]:
         paths = self._site.paths
         if paths is not None and self._paths.loses(
             request.entry, target, now_ms, self._draw.random()
         ):
-            return Ending.UNREACHED, paths.connect_ms
+            return AttemptOutcome.UNREACHED, paths.connect_ms
         return self._play(target, request.work, now_ms)
 
-    def _play(self, target: int, work: Work, now_ms: float) -> tuple[Ending, float]:
+    def _play(
+        self, target: int, work: Work, now_ms: float
+    ) -> tuple[AttemptOutcome, float]:
         work_ms = work.draw_ms(self._draw)
         gray = self._site.gray
         failed = self._draw.random() < work.error_share
         if gray is not None and self._plan.gray(target, now_ms):
             if self._draw.random() >= gray.fails:
-                return Ending.ANSWERED, work_ms
-            if gray.ending is Ending.ANSWERED:
-                return Ending.ANSWERED, work_ms * gray.slow
-            if gray.ending is Ending.SILENT:
-                return Ending.SILENT, math.inf
-            spans = {Ending.ERROR: work_ms}
+                return AttemptOutcome.ANSWERED, work_ms
+            if gray.ending is AttemptOutcome.ANSWERED:
+                return AttemptOutcome.ANSWERED, work_ms * gray.slow
+            if gray.ending is AttemptOutcome.SILENT:
+                return AttemptOutcome.SILENT, math.inf
+            spans = {AttemptOutcome.ERROR: work_ms}
             return gray.ending, spans.get(gray.ending, BROKEN_AFTER_MS)
-        return (Ending.ERROR if failed else Ending.ANSWERED), work_ms
+        return (AttemptOutcome.ERROR if failed else AttemptOutcome.ANSWERED), work_ms
 
     def _ended(
         self,
         request: _Request,
-        placed: Placed,
-        ending: Ending,
+        placed: PlacementGranted,
+        ending: AttemptOutcome,
         began_ms: float,
         now_ms: float,
     ) -> None:
         request.running -= 1
         if request.done:
-            ending = Ending.ABANDONED
+            ending = AttemptOutcome.ABANDONED
         self.placer.ended(
             placed.target.identity,
             placed.grant,
@@ -391,17 +401,22 @@
         self._serve_held(now_ms)
         if request.done:
             return
-        if ending is Ending.ANSWERED:
+        if ending is AttemptOutcome.ANSWERED:
             self._answered(request, now_ms)
         elif self._again(request, ending, now_ms):
-            self._ask(request, request.arrived > 0 or ending is Ending.SHED, now_ms)
+            self._ask(
+                request, request.arrived > 0 or ending is AttemptOutcome.SHED, now_ms
+            )
         elif not request.running:
             request.done = True
             self._count_unanswered(request, ending)
 
-    def _count_unanswered(self, request: _Request, ending: Ending) -> None:
+    def _count_unanswered(self, request: _Request, ending: AttemptOutcome) -> None:
         tally = self.tallies[request.work.name]
-        if ending in (Ending.SHED, Ending.UNREACHED) and not request.arrived:
+        if (
+            ending in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED)
+            and not request.arrived
+        ):
             tally.refused += 1
         else:
             tally.lost += 1
@@ -416,9 +431,9 @@
         else:
             tally.late += 1
 
-    def _again(self, request: _Request, ending: Ending, now_ms: float) -> bool:
+    def _again(self, request: _Request, ending: AttemptOutcome, now_ms: float) -> bool:
         if now_ms >= request.ends_ms or request.running:
             return False
-        if ending in (Ending.SHED, Ending.UNREACHED):
+        if ending in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED):
             return len(request.tried) < TARGETS_TRIED_MAX
         return request.work.idempotent and request.arrived < request.work.attempts
--- a/src/crocusspindle/core/duty_history.py
+++ b/src/crocusspindle/core/assignment_history.py
@@ -19,8 +19,8 @@
     """
 
     first: bool
-    put_out: tuple[ViewEntry, ...]
-    former: ViewEntry | None
+    removed_members: tuple[ViewEntry, ...]
+    previous_holder: ViewEntry | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Term:
+class Tenure:
     """Hold the consecutive views in which a node was first for a role.
 
     ``ended_ms`` is when it learnt of the view that ended the tenure, None before.
@@ -42,7 +42,7 @@
 
     views: tuple[SeenView, ...]
     ended_ms: float | None
-    succeeds_itself: bool
+    continues_own_tenure: bool
 
     @property
     def since_ms(self) -> float:
@@ -50,7 +50,7 @@
         return self.views[0].seen_ms
 
 
-class DutyHistory:
+class AssignmentHistory:
     """Determine a node's rank for roles in the view in force and in earlier ones."""
 
     def __init__(self, host: HostId, incarnation: Incarnation) -> None:
@@ -75,7 +75,7 @@
             self._ranks[role] = self.rank_in(self._views[-1].view, role)
         return self._ranks.get(role)
 
-    def last_term(self, role: str, after_view: int) -> Term | None:
+    def last_tenure(self, role: str, after_view: int) -> Tenure | None:
         """Return the last tenure as first for a role, by views after a number."""
         views: list[SeenView] = []
         before: SeenView | None = None
@@ -92,7 +92,7 @@
             return None
         views.reverse()
         continues = before is not None and self._continues(before, views[0], role)
-        return Term(tuple(views), ended_ms, continues)
+        return Tenure(tuple(views), ended_ms, continues)
 
     def _continues(self, before: SeenView, first: SeenView, role: str) -> bool:
         if first.view.number != before.view.number + 1:
@@ -105,8 +105,8 @@
             return False
         # The previous holder may have acted for longer, without that view. A running
         # member is asked; what a process that ended did is unknown.
-        former = rank.former
-        return former is None or former in first.view.entries
+        previous_holder = rank.previous_holder
+        return previous_holder is None or previous_holder in first.view.entries
 
     def _holds(self, view: View, role: str) -> bool:
         rank = self.rank_in(view, role)
@@ -132,6 +132,6 @@
     lower = [entry_by_host[host] for host in ranked[position + 1 :]]
     older = [entry for entry in lower if entry.joined < own.joined]
     fenced_lower = [entry for entry in older if entry.key in fenced]
-    former = next((entry for entry in older if entry.key not in fenced), None)
+    previous_holder = next((entry for entry in older if entry.key not in fenced), None)
     first = all(entry.key in fenced for entry in higher)
-    return AssignmentRank(first, (*higher, *fenced_lower), former)
+    return AssignmentRank(first, (*higher, *fenced_lower), previous_holder)
--- a/src/crocusspindle/core/byte_pace.py
+++ b/src/crocusspindle/core/byte_rate_limiter.py
@@ -7,7 +7,7 @@
 have."""
 
 
-class BytePace:
+class ByteRateLimiter:
     """Allow bytes at a rate.
 
     Made for a whole fleet that requests whole lists from one node at the same moment.
@@ -19,7 +19,7 @@
         self._bytes_per_ms = bytes_per_ms
         self._next_ms = 0.0
 
-    def take(self, length: int, now_ms: float) -> bool:
+    def try_consume(self, length: int, now_ms: float) -> bool:
         """Return True if so many bytes may be sent now."""
         if self._next_ms > now_ms:
             return False
--- a/src/crocusspindle/core/crash_watch.py
+++ b/src/crocusspindle/core/crash_watch.py
@@ -7,7 +7,7 @@
 from crocusspindle.core.crash_record import SAME_CRASH_MS
 from crocusspindle.core.crash_table import CrashReport, CrashTable
 from crocusspindle.core.listed_target import TargetIdentity
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.ids import ContentDigest
 
 MAX_DETECTION_DELAY_MS: Final = 6_000.0
@@ -38,18 +38,18 @@
         target: TargetIdentity,
         content: ContentDigest,
         running: Iterable[ContentDigest],
-        outcome: Ending,
+        outcome: AttemptOutcome,
         now_ms: float,
     ) -> None:
         """Record an attempt's outcome and the requests that still run at the target."""
-        if outcome is Ending.ANSWERED:
+        if outcome is AttemptOutcome.ANSWERED:
             if content in self._table:
                 self._answered.append(content)
-        elif outcome is Ending.CRASHED:
+        elif outcome is AttemptOutcome.CRASHED:
             self._note_crash(target, {content, *running}, now_ms)
-        elif outcome is Ending.BROKEN:
+        elif outcome is AttemptOutcome.BROKEN:
             self._broken.setdefault(target, {})[content] = now_ms
-        elif outcome in (Ending.CLOSED, Ending.MISDIRECTED):
+        elif outcome in (AttemptOutcome.CLOSED, AttemptOutcome.MISDIRECTED):
             broken_ms = self._broken.pop(target, {})
             since_ms = now_ms - MAX_DETECTION_DELAY_MS
             recent = {c for c, at in broken_ms.items() if at > since_ms}
--- a/src/crocusspindle/core/floor_watch.py
+++ b/src/crocusspindle/core/floor_watch.py
@@ -11,11 +11,11 @@
 from typing import Final
 
 from crocusspindle.core.listed_target import Readiness
-from crocusspindle.core.target_gauge import (
+from crocusspindle.core.target_tracker import (
     HEALTHY_AFTER_MS,
     SUSPICIOUS_AGE_NATS,
-    Ending,
-    Standing,
+    AttemptOutcome,
+    EjectionState,
     TargetTracker,
 )
 
@@ -68,9 +68,9 @@
         self._due: list[TargetTracker] = []
         self._due_checked_ms = -math.inf
 
-    def record_outcome(self, outcome: Ending, now_ms: float) -> None:
+    def record_outcome(self, outcome: AttemptOutcome, now_ms: float) -> None:
         """Record the outcome of one attempt."""
-        unserved = outcome not in (Ending.ANSWERED, Ending.ABANDONED)
+        unserved = outcome not in (AttemptOutcome.ANSWERED, AttemptOutcome.ABANDONED)
         self._unserved.append((now_ms, unserved))
         while self._unserved[0][0] < now_ms - WINDOW_MS:
             self._unserved.popleft()
@@ -88,7 +88,7 @@
             ejected = [
                 tracker
                 for tracker in ready
-                if tracker.ejection_state is not Standing.HEALTHY
+                if tracker.ejection_state is not EjectionState.HEALTHY
             ]
         return len(ejected) + 1 <= self._max_ejected(ready)
 
@@ -186,7 +186,7 @@
     if tracker.listed.readiness is not Readiness.READY:
         return False
     healthy_after_ms = HEALTHY_AFTER_MS
-    if tracker.ejection_state is Standing.EJECTED:
+    if tracker.ejection_state is EjectionState.EJECTED:
         # A target that failed at its last return as well is less likely to be healthy.
         healthy_after_ms = max(
             healthy_after_ms, tracker.ejection_ms * RELAPSED_FRACTION
@@ -195,7 +195,7 @@
 
 
 def _is_long_healthy(tracker: TargetTracker, now_ms: float) -> bool:
-    healthy = tracker.ejection_state is Standing.HEALTHY
+    healthy = tracker.ejection_state is EjectionState.HEALTHY
     return healthy and now_ms - _failed_ms(tracker, now_ms) >= LONG_HEALTHY_MS
 
 
@@ -219,7 +219,8 @@
     healthy = [
         tracker
         for tracker in ready
-        if tracker.ejection_state is Standing.HEALTHY and not tracker.limit.is_active
+        if tracker.ejection_state is EjectionState.HEALTHY
+        and not tracker.limit.is_active
     ]
     slots = sum(tracker.listed.slots for tracker in healthy)
     busy = sum(len(tracker.grants) for tracker in healthy)
@@ -233,7 +234,7 @@
         tracker for tracker in trackers if tracker.listed.readiness is Readiness.READY
     ]
     return ready, [
-        tracker for tracker in ready if tracker.ejection_state is Standing.EJECTED
+        tracker for tracker in ready if tracker.ejection_state is EjectionState.EJECTED
     ]
 
 
--- a/src/crocusspindle/core/hedge_time.py
+++ b/src/crocusspindle/core/hedge_time.py
@@ -28,7 +28,7 @@
 def hedge_after_ms(sample: LatencySample, aim_ms: float) -> float:
     """Return the age at which to hedge, given what is left of the latency objective."""
     if not sample.has_enough_samples:
-        return max(sample.usual_ms, aim_ms * UNKNOWN_AIM_FRACTION)
+        return max(sample.typical_ms, aim_ms * UNKNOWN_AIM_FRACTION)
     latest_ms = aim_ms - sample.quantile_ms(IN_TIME_QUANTILE)
     unusual_ms = sample.quantile_ms(UNUSUAL_QUANTILE)
     return max(sample.quantile_ms(EARLIEST_QUANTILE), min(unusual_ms, latest_ms))
--- a/src/crocusspindle/core/latency_sample.py
+++ b/src/crocusspindle/core/latency_sample.py
@@ -31,7 +31,7 @@
             self._sum_ms -= oldest_ms
 
     @property
-    def usual_ms(self) -> float:
+    def typical_ms(self) -> float:
         """Return the mean, or an initial estimate until there are enough samples."""
         if len(self._by_time) < MIN_SAMPLES:
             return self._initial_ms
@@ -48,7 +48,7 @@
             min(len(self._sorted) - 1, int(fraction * len(self._sorted)))
         ]
 
-    def doubt_nats(self, age_ms: float, min_age_ms: float = 0.0) -> float:
+    def suspicion_nats(self, age_ms: float, min_age_ms: float = 0.0) -> float:
         """Return -ln of the probability that typical work lasts longer than an age.
 
         Up to `min_age_ms` it is 0: short work may have waited for a slot.
--- a/src/crocusspindle/core/placement_queue.py
+++ b/src/crocusspindle/core/placement_queue.py
@@ -10,11 +10,15 @@
 from collections.abc import Iterator
 from typing import Final
 
-from crocusspindle.core.asks import Ask, Refused, Waiting
-from crocusspindle.core.flow import ServiceLoad
 from crocusspindle.core.latency_sample import LatencySample
+from crocusspindle.core.placement_request import (
+    PlacementRefused,
+    PlacementRequest,
+    QueuedRequest,
+)
 from crocusspindle.core.policies import Policies, Policy
-from crocusspindle.core.wait_line import WaitQueue
+from crocusspindle.core.service_load import ServiceLoad
+from crocusspindle.core.wait_queue import WaitQueue
 
 MIN_WAIT_MS: Final = 40.0
 RETRY_MIN_MS: Final = 100.0
@@ -23,9 +27,9 @@
 refused when three in four of its kind would not finish in time."""
 
 
-def refused_as_full(wait_ms: float) -> Refused:
+def refused_as_full(wait_ms: float) -> PlacementRefused:
     """Return the refusal of a service that expects a free slot after a time."""
-    return Refused("full", max(RETRY_MIN_MS, wait_ms))
+    return PlacementRefused("full", max(RETRY_MIN_MS, wait_ms))
 
 
 class PlacementQueue:
@@ -58,30 +62,34 @@
         self._load.record_answer(latency_ms)
 
     def enqueue(
-        self, request: Ask, sample: LatencySample, open_slots: float, now_ms: float
-    ) -> Waiting | Refused:
+        self,
+        request: PlacementRequest,
+        sample: LatencySample,
+        open_slots: float,
+        now_ms: float,
+    ) -> QueuedRequest | PlacementRefused:
         """Queue a request if it can still finish in time, or refuse it."""
         ahead = self._queue.ahead_of(request.priority, now_ms)
-        wait_ms = (ahead + 1) * sample.usual_ms / open_slots
+        wait_ms = (ahead + 1) * sample.typical_ms / open_slots
         on_time_ms = _on_time_limit_ms(request, sample, now_ms)
         limit_ms = max(on_time_ms, self._late_limit_ms(request, sample, now_ms))
         if wait_ms > on_time_ms:
             wait_ms = self._late_wait_ms(open_slots, now_ms)
         if wait_ms > limit_ms or not self._policies.has(Policy.QUEUEING):
             return refused_as_full(min(wait_ms, limit_ms))
-        waiting = Waiting(request, now_ms, now_ms + on_time_ms, now_ms + limit_ms)
+        waiting = QueuedRequest(request, now_ms, now_ms + on_time_ms, now_ms + limit_ms)
         self._queue.add(waiting)
         return waiting
 
     def _late_limit_ms(
-        self, request: Ask, sample: LatencySample, now_ms: float
+        self, request: PlacementRequest, sample: LatencySample, now_ms: float
     ) -> float:
         if not self._policies.has(Policy.LATE_QUEUEING):
             return 0.0
         work_ms = (
             sample.quantile_ms(IN_TIME_QUANTILE)
             if sample.has_enough_samples
-            else sample.usual_ms
+            else sample.typical_ms
         )
         return request.deadline_ms - now_ms - work_ms
 
@@ -91,11 +99,13 @@
         spare_per_ms = self._load.spare_per_ms(open_slots, now_ms)
         return (len(self._queue) + 1) / spare_per_ms if spare_per_ms > 0 else math.inf
 
-    def in_order(self, now_ms: float) -> Iterator[Waiting]:
+    def in_order(self, now_ms: float) -> Iterator[QueuedRequest]:
         """Yield all queued requests, in the order in which they get slots."""
         return self._queue.in_order(now_ms)
 
-    def may_start(self, waiting: Waiting, open_slots: float, now_ms: float) -> bool:
+    def may_start(
+        self, waiting: QueuedRequest, open_slots: float, now_ms: float
+    ) -> bool:
         """Return True if a request may take a free slot.
 
         A late one that takes the last slot of a full service makes the next one late
@@ -106,7 +116,7 @@
         return self._load.spare_per_ms(open_slots, now_ms) > 0.0
 
     def can_finish_in_time(
-        self, waiting: Waiting, open_slots: float, now_ms: float
+        self, waiting: QueuedRequest, open_slots: float, now_ms: float
     ) -> bool:
         """Return True if a request may still be served before its deadline.
 
@@ -126,14 +136,16 @@
         """Drop the requests that have a decision."""
         self._queue.drop_settled()
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         """Drop a request whose caller has left."""
         self._queue.remove(waiting)
 
 
-def _on_time_limit_ms(request: Ask, sample: LatencySample, now_ms: float) -> float:
+def _on_time_limit_ms(
+    request: PlacementRequest, sample: LatencySample, now_ms: float
+) -> float:
     # Half of what the latency objective leaves beside the typical latency: the other
     # half is for work that takes longer.
     left_ms = request.deadline_ms - now_ms
-    spare_ms = min(request.aim_ms, left_ms) - sample.usual_ms
+    spare_ms = min(request.aim_ms, left_ms) - sample.typical_ms
     return max(MIN_WAIT_MS, spare_ms / 2)
--- a/src/crocusspindle/core/asks.py
+++ b/src/crocusspindle/core/placement_request.py
@@ -3,12 +3,12 @@
 from dataclasses import dataclass
 
 from crocusspindle.core.listed_target import ListedTarget, TargetIdentity
-from crocusspindle.core.target_gauge import Ending, Standing
+from crocusspindle.core.target_tracker import AttemptOutcome, EjectionState
 from crocusspindle.ids import NO_CONTENT, ContentDigest, DomainId, GrantId, HostId
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PlacementRequest:
     """Request a target for one attempt.
 
     `aim_ms` is what is left of the route's latency objective. A `hedge` is a retry
@@ -23,7 +23,7 @@
     priority: int
     aim_ms: float
     deadline_ms: float
-    repeat: bool = False
+    retry: bool = False
     hedge: bool = False
     counted: bool = False
     body_bytes: int = 0
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class PlacementGranted:
     """Name the target of an attempt, and the time after which to hedge it."""
 
     grant: GrantId
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class PlacementRefused:
     """State why no target is granted, and the time after which to retry."""
 
     reason: str
@@ -50,18 +50,18 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedRequest:
     """Hold a request that waits for a slot, until `settled` holds the decision.
 
     Up to `on_time_until_ms` it can still be served within its latency objective; up to
     `give_up_ms` within its deadline.
     """
 
-    request: Ask
+    request: PlacementRequest
     queued_ms: float
     on_time_until_ms: float
     give_up_ms: float
-    settled: Placed | Refused | None = None
+    settled: PlacementGranted | PlacementRefused | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
     """
 
     target: TargetIdentity
-    standing: Standing
-    ending: Ending | None
+    standing: EjectionState
+    ending: AttemptOutcome | None
     sender: HostId | None
     until_ms: float
--- a/src/crocusspindle/core/quota_keeper.py
+++ b/src/crocusspindle/core/quota_keeper.py
@@ -15,8 +15,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+from crocusspindle.core.assignment_history import AssignmentHistory, Tenure
 from crocusspindle.core.configuration import CustomerRule
-from crocusspindle.core.duty_history import DutyHistory, Term
 from crocusspindle.core.view import View, ViewEntry, ViewEntryKey
 from crocusspindle.core.window_bucket import WindowBucket
 from crocusspindle.ids import CustomerId, HostId, Incarnation
@@ -91,7 +91,7 @@
         self._rules: Mapping[CustomerId, CustomerRule] = {}
         self._accounts: dict[CustomerId, _Account] = {}
         self._fenced_since_ms: dict[ViewEntryKey, float] = {}
-        self._history = DutyHistory(host, incarnation)
+        self._history = AssignmentHistory(host, incarnation)
 
     def set_rules(self, rules: Mapping[CustomerId, CustomerRule]) -> None:
         """Apply a new configuration's limits; a lower burst truncates the buckets."""
@@ -167,15 +167,15 @@
         ):
             return []
         if math.isnan(account.successor_since_ms):
-            tenure = self._history.last_term(customer, account.barred_to_view)
+            tenure = self._history.last_tenure(customer, account.barred_to_view)
             account.successor_since_ms = now_ms if tenure is None else tenure.since_ms
             account.tokens = 0.0
         done = account.cleared.keys() | self.expired_keys(now_ms)
-        waiting = [entry for entry in rank.put_out if entry.key not in done]
+        waiting = [entry for entry in rank.removed_members if entry.key not in done]
         timed_out = now_ms - account.successor_since_ms > self._fence_ms
         cleared = timed_out or not math.isnan(account.previous_released_ms)
-        if rank.former is not None and not cleared:
-            waiting.append(rank.former)
+        if rank.previous_holder is not None and not cleared:
+            waiting.append(rank.previous_holder)
         return waiting
 
     def spend(
@@ -212,7 +212,7 @@
     def _open(
         self, account: _Account, customer: CustomerId, rule: CustomerRule, now_ms: float
     ) -> None:
-        tenure = self._history.last_term(customer, account.barred_to_view)
+        tenure = self._history.last_tenure(customer, account.barred_to_view)
         if tenure is None:
             account.bucket.open(account.tokens, rule, now_ms)
             return
@@ -223,21 +223,23 @@
         account.bucket.open(tokens, rule, since_ms)
 
     def _exclusive_since_ms(
-        self, tenure: Term, customer: CustomerId, account: _Account
+        self, tenure: Tenure, customer: CustomerId, account: _Account
     ) -> float:
         """Return since when no other node can have admitted the customer."""
         removed_end_ms: dict[ViewEntryKey, float] = {}
         exclusive_ms = tenure.since_ms
-        if tenure.succeeds_itself:
+        if tenure.continues_own_tenure:
             # The previous process of this host had ended when this one started.
             exclusive_ms = min(exclusive_ms, self._began_ms)
         for seen in tenure.views:
             rank = self._history.rank_in(seen.view, customer)
             if rank is None:
                 continue
-            for entry in rank.put_out:
+            for entry in rank.removed_members:
                 removed_end_ms.setdefault(entry.key, seen.seen_ms + self._fence_ms)
-            if rank.former is not None and math.isnan(account.previous_released_ms):
+            if rank.previous_holder is not None and math.isnan(
+                account.previous_released_ms
+            ):
                 exclusive_ms = max(exclusive_ms, tenure.since_ms + self._fence_ms)
         if not math.isnan(account.previous_released_ms):
             exclusive_ms = max(exclusive_ms, account.previous_released_ms)
@@ -286,7 +288,7 @@
         # No request came while this node kept the customer, so the bucket never opened:
         # it counts as filled since this node became the only keeper.
         rule = self._rules.get(customer)
-        tenure = self._history.last_term(customer, account.barred_to_view)
+        tenure = self._history.last_tenure(customer, account.barred_to_view)
         if rule is None or tenure is None:
             return
         if math.isnan(account.successor_since_ms):
--- a/src/crocusspindle/core/retry_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -76,7 +76,7 @@
             self._since_ms = now_ms
         self._requests.append(now_ms)
 
-    def repeat(self, now_ms: float) -> bool:
+    def retry(self, now_ms: float) -> bool:
         """Count one retry; return False if the window allows no more."""
         self._forget(now_ms)
         if self._used(now_ms) + 1 > self._allowed(now_ms):
--- a/src/crocusspindle/core/route_latencies.py
+++ b/src/crocusspindle/core/route_latencies.py
@@ -50,7 +50,7 @@
 
         Short work may have waited at its target for a slot that long work held.
         """
-        return self._all.usual_ms
+        return self._all.typical_ms
 
     def _route_sample(self, route: str, aim_ms: float) -> LatencySample:
         sample = self._samples.get(route)
--- a/src/crocusspindle/core/service_placer.py
+++ b/src/crocusspindle/core/service_placer.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable, Mapping
 from typing import Final
 
-from crocusspindle.core.asks import Ask, EjectionStateChange, Placed, Refused, Waiting
 from crocusspindle.core.crash_table import CrashTable, Isolation
 from crocusspindle.core.crash_watch import CrashWatch
 from crocusspindle.core.floor_watch import FloorWatch
+from crocusspindle.core.gray_onset_rate import GrayOnsetRate
 from crocusspindle.core.hedge_time import hedge_after_ms
 from crocusspindle.core.latency_sample import LatencySample
 from crocusspindle.core.listed_target import (
@@ -27,20 +27,26 @@
     PlacementQueue,
     refused_as_full,
 )
+from crocusspindle.core.placement_request import (
+    EjectionStateChange,
+    PlacementGranted,
+    PlacementRefused,
+    PlacementRequest,
+    QueuedRequest,
+)
 from crocusspindle.core.policies import ALL_POLICIES, Policies, Policy
 from crocusspindle.core.rate_limit import LimitReport
 from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.route_latencies import RouteLatencies
 from crocusspindle.core.target_choice import TargetChoice
-from crocusspindle.core.target_gauge import (
+from crocusspindle.core.target_tracker import (
     HUNG_NATS,
+    AttemptOutcome,
     AttemptResult,
-    Ending,
+    EjectionState,
     Grant,
-    Standing,
     TargetTracker,
 )
-from crocusspindle.core.turn_rate import GrayOnsetRate
 from crocusspindle.core.unreached_share import UnreachedShare
 from crocusspindle.ids import NO_CONTENT, ContentDigest, GrantId, HostId
 
@@ -99,27 +105,29 @@
         """Return the tracker of each target."""
         return self._trackers
 
-    def adopt(self, target: TargetIdentity, until_ms: float, now_ms: float) -> None:
+    def apply_ejection(
+        self, target: TargetIdentity, until_ms: float, now_ms: float
+    ) -> None:
         """Apply another placer's ejection, so that this one can take over from it."""
         tracker = self._trackers.get(target)
         if tracker is not None and until_ms > now_ms:
-            tracker.ejection_state = Standing.EJECTED
+            tracker.ejection_state = EjectionState.EJECTED
             tracker.ejected_until_ms = max(tracker.ejected_until_ms, until_ms)
             tracker.last_failed_ms = now_ms
 
-    def take_limit(self, report: LimitReport, now_ms: float) -> bool:
+    def update_limit(self, report: LimitReport, now_ms: float) -> bool:
         """Update the rate limit that a target reported; return True if it changed."""
         tracker = self._trackers.get(report.target)
         return tracker is not None and tracker.limit.apply_report(report, now_ms)
 
-    def count_paced(self, report: LimitReport, now_ms: float) -> None:
+    def count_limited_attempt(self, report: LimitReport, now_ms: float) -> None:
         """Count another placer's attempt at a rate-limited target."""
         tracker = self._trackers.get(report.target)
         if tracker is not None:
             tracker.limit.apply_report(report, now_ms)
             tracker.limit.record_sent(now_ms)
 
-    def paced(self) -> list[LimitReport]:
+    def recent_limits(self) -> list[LimitReport]:
         """Return the limits of limited targets that got work since the last call."""
         targets, self._limited_targets = self._limited_targets, []
         limits = {
@@ -138,13 +146,15 @@
         changes, self._changes = self._changes, []
         return changes
 
-    def ask(self, placement_request: Ask, now_ms: float) -> Placed | Refused | Waiting:
+    def request_placement(
+        self, placement_request: PlacementRequest, now_ms: float
+    ) -> PlacementGranted | PlacementRefused | QueuedRequest:
         """Grant a target for an attempt, queue the request, or refuse it at once."""
         if placement_request.hedge and not self._may_hedge(placement_request, now_ms):
-            return Refused("full", self._typical_ms(placement_request))
-        if placement_request.repeat:
-            if not self._retry_budget.repeat(now_ms):
-                return Refused("repeats", self._typical_ms(placement_request))
+            return PlacementRefused("full", self._typical_ms(placement_request))
+        if placement_request.retry:
+            if not self._retry_budget.retry(now_ms):
+                return PlacementRefused("repeats", self._typical_ms(placement_request))
         else:
             if not placement_request.counted:
                 self._retry_budget.request(now_ms)
@@ -155,10 +165,10 @@
             return placed
         if placement_request.hedge:
             self._retry_budget.give_back()
-            return Refused("full", self._typical_ms(placement_request))
+            return PlacementRefused("full", self._typical_ms(placement_request))
         return self._enqueue(placement_request, now_ms)
 
-    def _may_hedge(self, placement_request: Ask, now_ms: float) -> bool:
+    def _may_hedge(self, placement_request: PlacementRequest, now_ms: float) -> bool:
         if self._crashes.isolation(placement_request.content) is not Isolation.NONE:
             return False
         # When slots are short, a hedge takes the slot of another request's first
@@ -171,31 +181,35 @@
         return any(
             tracker.has_free_slot(now_ms)
             for tracker in self._trackers.values()
-            if tracker.ejection_state is not Standing.EJECTED
+            if tracker.ejection_state is not EjectionState.EJECTED
             or tracker.may_be_tried(now_ms)
         )
 
-    def _sample(self, placement_request: Ask) -> LatencySample:
+    def _sample(self, placement_request: PlacementRequest) -> LatencySample:
         return self._latencies.sample_for(
             placement_request.route, placement_request.aim_ms
         )
 
-    def _typical_ms(self, placement_request: Ask) -> float:
-        return self._sample(placement_request).usual_ms
+    def _typical_ms(self, placement_request: PlacementRequest) -> float:
+        return self._sample(placement_request).typical_ms
 
-    def _enqueue(self, placement_request: Ask, now_ms: float) -> Refused | Waiting:
+    def _enqueue(
+        self, placement_request: PlacementRequest, now_ms: float
+    ) -> PlacementRefused | QueuedRequest:
         if placement_request.trial:
-            return Refused("held", RETRY_MIN_MS)
+            return PlacementRefused("held", RETRY_MIN_MS)
         if not self._any_usable_by(placement_request, now_ms):
             return self._refuse_all_ejected(placement_request, now_ms)
         sample = self._sample(placement_request)
         return self._queue.enqueue(
-            placement_request, sample, self._open_slots(sample.usual_ms), now_ms
+            placement_request, sample, self._open_slots(sample.typical_ms), now_ms
         )
 
-    def _any_usable_by(self, placement_request: Ask, now_ms: float) -> bool:
+    def _any_usable_by(
+        self, placement_request: PlacementRequest, now_ms: float
+    ) -> bool:
         return any(
-            tracker.ejection_state is Standing.HEALTHY
+            tracker.ejection_state is EjectionState.HEALTHY
             and tracker.listed.readiness is Readiness.READY
             and tracker.listed.identity not in placement_request.excluded
             and self._choice.reachable(tracker, placement_request.sender, now_ms)
@@ -208,20 +222,22 @@
         return sum(
             min(tracker.listed.slots, tracker.limit.sustained_concurrency(work_ms))
             for tracker in self._trackers.values()
-            if tracker.ejection_state is Standing.HEALTHY
+            if tracker.ejection_state is EjectionState.HEALTHY
             and tracker.listed.readiness is Readiness.READY
         )
 
-    def _refuse_all_ejected(self, placement_request: Ask, now_ms: float) -> Refused:
+    def _refuse_all_ejected(
+        self, placement_request: PlacementRequest, now_ms: float
+    ) -> PlacementRefused:
         ejections_end_ms = [
             tracker.ejected_until_ms
             for tracker in self._trackers.values()
-            if tracker.ejection_state is Standing.EJECTED
+            if tracker.ejection_state is EjectionState.EJECTED
         ]
         first_end_ms = min(
             ejections_end_ms, default=now_ms + self._typical_ms(placement_request)
         )
-        return Refused("no-target", max(RETRY_MIN_MS, first_end_ms - now_ms))
+        return PlacementRefused("no-target", max(RETRY_MIN_MS, first_end_ms - now_ms))
 
     def _refresh_if_due(self, now_ms: float) -> None:
         # Checking every target at each placement request and each outcome would take
@@ -234,9 +250,9 @@
         healthy = 0
         ejects_hung = self._policies.has(Policy.HUNG_EJECTION)
         for tracker in self._trackers.values():
-            if tracker.ejection_state is Standing.EJECTED:
+            if tracker.ejection_state is EjectionState.EJECTED:
                 tracker.end_due_ejection(now_ms)
-            healthy += tracker.ejection_state is Standing.HEALTHY
+            healthy += tracker.ejection_state is EjectionState.HEALTHY
             if not tracker.grants:
                 continue
             tracker.drop_expired(now_ms)
@@ -251,19 +267,21 @@
     def _eject_hung(self, tracker: TargetTracker, now_ms: float) -> None:
         # A target that accepts work and never answers reports no outcome to judge. Its
         # callers would find out one by one when their deadlines pass.
-        if tracker.ejection_state is Standing.EJECTED or not tracker.grants:
+        if tracker.ejection_state is EjectionState.EJECTED or not tracker.grants:
             return
-        if tracker.failure_nats + tracker.doubt_nats(now_ms) < HUNG_NATS:
+        if tracker.failure_nats + tracker.suspicion_nats(now_ms) < HUNG_NATS:
             return
         if not self._floor.may_eject(self._trackers.values()):
             return
-        self._onset_rate.record_onset(tracker.ejection_state is Standing.HEALTHY)
+        self._onset_rate.record_onset(tracker.ejection_state is EjectionState.HEALTHY)
         newest_ms = max(grant.began_ms for grant in tracker.grants.values())
         tracker.last_failed_ms = max(tracker.last_failed_ms, newest_ms)
         tracker.eject(now_ms)
-        self._record_state_change(tracker, Ending.SILENT, None)
+        self._record_state_change(tracker, AttemptOutcome.SILENT, None)
 
-    def _place(self, placement_request: Ask, now_ms: float) -> Placed | None:
+    def _place(
+        self, placement_request: PlacementRequest, now_ms: float
+    ) -> PlacementGranted | None:
         chosen = self._choice.choose(
             placement_request, self._typical_ms(placement_request), now_ms
         )
@@ -272,8 +290,8 @@
         )
 
     def _grant(
-        self, tracker: TargetTracker, placement_request: Ask, now_ms: float
-    ) -> Placed:
+        self, tracker: TargetTracker, placement_request: PlacementRequest, now_ms: float
+    ) -> PlacementGranted:
         self._last_grant += 1
         sample = self._sample(placement_request)
         grant_id = GrantId(self._last_grant)
@@ -298,13 +316,13 @@
         hedge_ms = max(
             min_suspicious_ms, hedge_after_ms(sample, placement_request.aim_ms)
         )
-        return Placed(grant_id, tracker.listed, hedge_ms)
+        return PlacementGranted(grant_id, tracker.listed, hedge_ms)
 
     def ended(
         self,
         target: TargetIdentity,
         grant: GrantId,
-        outcome: Ending,
+        outcome: AttemptOutcome,
         sender: HostId,
         latency_ms: float,
         now_ms: float,
@@ -323,12 +341,12 @@
         tracker.record_result(
             self._attempt_result(grant_held, outcome, sender, latency_ms, now_ms)
         )
-        self._unreached.record(outcome is Ending.UNREACHED)
-        if grant_held is not None and outcome is Ending.ANSWERED:
+        self._unreached.record(outcome is AttemptOutcome.UNREACHED)
+        if grant_held is not None and outcome is AttemptOutcome.ANSWERED:
             self._latencies.add(grant_held.route, grant_held.aim_ms, latency_ms)
             self._queue.record_answer(latency_ms)
         if tracker.ejection_state is not previous_state:
-            self._onset_rate.record_onset(previous_state is Standing.HEALTHY)
+            self._onset_rate.record_onset(previous_state is EjectionState.HEALTHY)
             self._record_state_change(tracker, outcome, sender)
         self._refresh_if_due(now_ms)
         # A copy of the request that has just crashed a target may be queued here, and
@@ -339,7 +357,7 @@
     def _attempt_result(
         self,
         grant: Grant | None,
-        outcome: Ending,
+        outcome: AttemptOutcome,
         sender: HostId,
         latency_ms: float,
         now_ms: float,
@@ -351,7 +369,7 @@
             return AttemptResult(
                 outcome, sender, began_ms, now_ms, 1.0, 0.0, unreached_nats, may_eject
             )
-        slowness = latency_ms / max(1.0, grant.sample.usual_ms)
+        slowness = latency_ms / max(1.0, grant.sample.typical_ms)
         age_nats = grant.age_nats(latency_ms)
         if not self._policies.has(Policy.HANG_EVIDENCE):
             age_nats = 0.0
@@ -368,7 +386,7 @@
         )
 
     def _record_state_change(
-        self, tracker: TargetTracker, outcome: Ending, sender: HostId | None
+        self, tracker: TargetTracker, outcome: AttemptOutcome, sender: HostId | None
     ) -> None:
         self._changes.append(
             EjectionStateChange(
@@ -380,7 +398,7 @@
             )
         )
 
-    def settle(self, now_ms: float) -> None:
+    def process_due(self, now_ms: float) -> None:
         """Apply what became due by time, then serve the queue."""
         self._refresh(now_ms)
         self._serve_queue(now_ms)
@@ -393,7 +411,7 @@
         for waiting in self._queue.in_order(now_ms):
             if self._crashes.is_held(waiting.request.content):
                 hold_ms = self._crashes.hold_ms(waiting.request.content)
-                waiting.settled = Refused("held", hold_ms)
+                waiting.settled = PlacementRefused("held", hold_ms)
                 continue
             # Few requests queued at a full service find a free slot. Checking every
             # target for each would take the placer's processor just when it is short.
@@ -405,7 +423,7 @@
                 waiting.settled = refused_as_full(self._typical_ms(waiting.request))
         self._queue.drop_settled()
 
-    def abandon(self, waiting: Waiting) -> None:
+    def abandon(self, waiting: QueuedRequest) -> None:
         """Drop a queued request whose caller has left."""
         self._queue.remove(waiting)
 
--- a/src/crocusspindle/core/target_choice.py
+++ b/src/crocusspindle/core/target_choice.py
@@ -3,10 +3,11 @@
 from collections.abc import Mapping
 from typing import Final
 
-from crocusspindle.core.asks import Ask
 from crocusspindle.core.crash_table import CrashTable, Isolation
 from crocusspindle.core.floor_watch import FloorWatch
+from crocusspindle.core.gray_onset_rate import GrayOnsetRate
 from crocusspindle.core.listed_target import Readiness, TargetIdentity
+from crocusspindle.core.placement_request import PlacementRequest
 from crocusspindle.core.policies import Policies, Policy
 from crocusspindle.core.target_costs import (
     CostContext,
@@ -14,8 +15,11 @@
     cost_ms,
     min_other_domain_cost_ms,
 )
-from crocusspindle.core.target_gauge import SUSPICIOUS_AGE_NATS, Standing, TargetTracker
-from crocusspindle.core.turn_rate import GrayOnsetRate
+from crocusspindle.core.target_tracker import (
+    SUSPICIOUS_AGE_NATS,
+    EjectionState,
+    TargetTracker,
+)
 from crocusspindle.ids import ContentDigest, HostId
 
 NON_IDEMPOTENT_TRIAL_AFTER_MS: Final = 1_500.0
@@ -42,11 +46,11 @@
         self._avoids_failed_paths = policies.has(Policy.PATH_ATTRIBUTION)
         self._local_domain_first = policies.has(Policy.LOCAL_DOMAIN_FIRST)
 
-    def _usable(self, request: Ask, now_ms: float) -> list[TargetTracker]:
+    def _usable(self, request: PlacementRequest, now_ms: float) -> list[TargetTracker]:
         return [
             tracker
             for tracker in self._trackers.values()
-            if tracker.ejection_state is not Standing.EJECTED
+            if tracker.ejection_state is not EjectionState.EJECTED
             and tracker.has_free_slot(now_ms)
             and tracker.listed.readiness is Readiness.READY
             and tracker.listed.identity not in request.excluded
@@ -61,39 +65,47 @@
         return not self._avoids_failed_paths or tracker.reachable(sender, now_ms)
 
     def choose(
-        self, request: Ask, usual_ms: float, now_ms: float
+        self, request: PlacementRequest, typical_ms: float, now_ms: float
     ) -> TargetTracker | None:
         """Return the target for a placement request, if one can take it."""
         isolation = self._crashes.isolation(request.content)
         if isolation is not Isolation.NONE:
-            return self._isolated_target(request, isolation, usual_ms, now_ms)
+            return self._isolated_target(request, isolation, typical_ms, now_ms)
         due = self._due_target(request, now_ms)
         if due is not None:
             return due
         usable = self._usable(request, now_ms)
         trial_target = (
-            None if request.repeat else self._trial_target(usable, request, now_ms)
+            None if request.retry else self._trial_target(usable, request, now_ms)
         )
         if trial_target is not None:
             return trial_target
         healthy = [
-            tracker for tracker in usable if tracker.ejection_state is Standing.HEALTHY
+            tracker
+            for tracker in usable
+            if tracker.ejection_state is EjectionState.HEALTHY
         ]
         if self._policies.has(Policy.SUSPICION_BY_AGE):
             healthy = [
                 tracker
                 for tracker in healthy
-                if tracker.doubt_nats(now_ms) < SUSPICIOUS_AGE_NATS
+                if tracker.suspicion_nats(now_ms) < SUSPICIOUS_AGE_NATS
             ] or healthy
         if healthy:
-            return self._cheapest(healthy, request, usual_ms, now_ms)
+            return self._cheapest(healthy, request, typical_ms, now_ms)
         trials = [
-            tracker for tracker in usable if tracker.ejection_state is Standing.TRIAL
+            tracker
+            for tracker in usable
+            if tracker.ejection_state is EjectionState.TRIAL
         ]
         return trials[0] if trials else None
 
     def _isolated_target(
-        self, request: Ask, isolation: Isolation, usual_ms: float, now_ms: float
+        self,
+        request: PlacementRequest,
+        isolation: Isolation,
+        typical_ms: float,
+        now_ms: float,
     ) -> TargetTracker | None:
         """Return a target for a request that may crash it and break its other work."""
         if self._is_running(request.content):
@@ -102,14 +114,14 @@
         usable = [
             candidate
             for candidate in usable
-            if candidate.ejection_state is Standing.HEALTHY
+            if candidate.ejection_state is EjectionState.HEALTHY
         ] or usable
         idle = [tracker for tracker in usable if not tracker.grants]
         if isolation is Isolation.REQUIRED:
             usable = []
         candidates = idle or usable
         return (
-            self._cheapest(candidates, request, usual_ms, now_ms)
+            self._cheapest(candidates, request, typical_ms, now_ms)
             if candidates
             else None
         )
@@ -121,9 +133,11 @@
             for grant in tracker.grants.values()
         )
 
-    def _due_target(self, request: Ask, now_ms: float) -> TargetTracker | None:
+    def _due_target(
+        self, request: PlacementRequest, now_ms: float
+    ) -> TargetTracker | None:
         """Return a due target if this request should keep up the service's floor."""
-        if request.repeat or not self._policies.has(Policy.FLOOR_TRIALS):
+        if request.retry or not self._policies.has(Policy.FLOOR_TRIALS):
             return None
         due = [
             tracker
@@ -138,17 +152,17 @@
         chosen = min(
             due,
             key=lambda tracker: (
-                tracker.ejection_state is Standing.EJECTED,
+                tracker.ejection_state is EjectionState.EJECTED,
                 tracker.last_failed_ms,
                 tracker.last_used_ms,
             ),
         )
-        if chosen.ejection_state is Standing.EJECTED:
+        if chosen.ejection_state is EjectionState.EJECTED:
             chosen.begin_trial(now_ms)
         return chosen
 
     def _may_use_due_target(
-        self, tracker: TargetTracker, request: Ask, now_ms: float
+        self, tracker: TargetTracker, request: PlacementRequest, now_ms: float
     ) -> bool:
         # Requests from the target's own domain mostly arrive in time. Taken from any
         # domain, three in four floor requests would cause traffic between domains.
@@ -157,17 +171,19 @@
 
     @staticmethod
     def _has_free_slot(tracker: TargetTracker, now_ms: float) -> bool:
-        if tracker.ejection_state is Standing.EJECTED:
+        if tracker.ejection_state is EjectionState.EJECTED:
             has_slot = len(tracker.grants) < tracker.listed.slots
             return has_slot and not tracker.is_isolated and tracker.limit.allows(now_ms)
         return tracker.has_free_slot(now_ms)
 
     def _trial_target(
-        self, usable: list[TargetTracker], request: Ask, now_ms: float
+        self, usable: list[TargetTracker], request: PlacementRequest, now_ms: float
     ) -> TargetTracker | None:
         """Return a target that this request should try, if there is one."""
         trials = [
-            tracker for tracker in usable if tracker.ejection_state is Standing.TRIAL
+            tracker
+            for tracker in usable
+            if tracker.ejection_state is EjectionState.TRIAL
         ]
         if not self._policies.has(Policy.IDEMPOTENT_FIRST):
             return trials[0] if trials else None
@@ -182,11 +198,13 @@
         trials.sort(key=lambda tracker: tracker.listed.domain != request.domain)
         if not trials:
             return None
-        if trials[0].ejection_state is Standing.EJECTED:
+        if trials[0].ejection_state is EjectionState.EJECTED:
             trials[0].begin_trial(now_ms)
         return trials[0]
 
-    def _ejected_to_try(self, request: Ask, now_ms: float) -> list[TargetTracker]:
+    def _ejected_to_try(
+        self, request: PlacementRequest, now_ms: float
+    ) -> list[TargetTracker]:
         # An idempotent request that tries an ejected target risks at most a second
         # attempt, so the ejection can be shorter than for work that runs only once.
         return [
@@ -202,12 +220,12 @@
     def _cheapest(
         self,
         targets: list[TargetTracker],
-        request: Ask,
-        usual_ms: float,
+        request: PlacementRequest,
+        typical_ms: float,
         now_ms: float,
     ) -> TargetTracker:
-        context = CostContext(request, usual_ms, self._onset_rate, now_ms)
-        explores = request.idempotent and not request.repeat
+        context = CostContext(request, typical_ms, self._onset_rate, now_ms)
+        explores = request.idempotent and not request.retry
         explores = explores and self._policies.has(Policy.IDEMPOTENT_FIRST)
         if explores and self._floor.floor_at_risk:
             due = [
--- a/src/crocusspindle/core/target_costs.py
+++ b/src/crocusspindle/core/target_costs.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from typing import Final
 
-from crocusspindle.core.asks import Ask
+from crocusspindle.core.gray_onset_rate import GrayOnsetRate
+from crocusspindle.core.placement_request import PlacementRequest
 from crocusspindle.core.policies import Policies, Policy
-from crocusspindle.core.target_gauge import TargetTracker
-from crocusspindle.core.turn_rate import GrayOnsetRate
+from crocusspindle.core.target_tracker import TargetTracker
 
 OTHER_DOMAIN_COST: Final = 3.0
 """Cost factor of a target in another failure domain: traffic between domains is
@@ -36,8 +36,8 @@
 class CostContext:
     """Hold the inputs of the cost that are the same for all targets."""
 
-    request: Ask
-    usual_ms: float
+    request: PlacementRequest
+    typical_ms: float
     onset_rate: GrayOnsetRate
     now_ms: float
 
@@ -68,7 +68,7 @@
 ) -> float:
     """Return the cost of sending a request to a target, in milliseconds."""
     load = 1.0 + len(tracker.grants) / tracker.listed.slots
-    cost = context.usual_ms * tracker.expected_slowness(context.now_ms) * load
+    cost = context.typical_ms * tracker.expected_slowness(context.now_ms) * load
     for cost_function in cost_terms:
         cost = cost_function(cost, tracker, context)
     return cost
@@ -76,7 +76,7 @@
 
 def min_other_domain_cost_ms(context: CostContext) -> float:
     """Return the least cost of a target in another failure domain."""
-    return context.usual_ms * OTHER_DOMAIN_COST
+    return context.typical_ms * OTHER_DOMAIN_COST
 
 
 @cost_term(Policy.REFUSAL_SHARE)
@@ -97,7 +97,7 @@
     # Work that may run once is lost at a gray target; idempotent work is retried, once.
     # So the one and the retry need a recent success; other attempts find out.
     request = context.request
-    if request.idempotent and not request.repeat:
+    if request.idempotent and not request.retry:
         return cost
     left_ms = max(0.0, request.deadline_ms - context.now_ms)
     return cost + gray_probability(tracker, context) * LOSS_WEIGHT * left_ms
--- a/src/crocusspindle/core/target_gauge.py
+++ b/src/crocusspindle/core/target_tracker.py
@@ -10,7 +10,7 @@
 from crocusspindle.ids import NO_CONTENT, ContentDigest, GrantId, HostId
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """State how one attempt ended, as its sender saw it."""
 
     ANSWERED = "answered"
@@ -27,21 +27,29 @@
     @property
     def arrived(self) -> bool:
         """Return True if the request may have reached the target."""
-        return self not in (Ending.UNREACHED, Ending.CLOSED)
+        return self not in (AttemptOutcome.UNREACHED, AttemptOutcome.CLOSED)
 
     @property
     def may_have_run(self) -> bool:
         """Return True unless the target certainly did not run the request."""
-        return self.arrived and self not in (Ending.SHED, Ending.MISDIRECTED)
+        return self.arrived and self not in (
+            AttemptOutcome.SHED,
+            AttemptOutcome.MISDIRECTED,
+        )
 
 
 EJECTING_OUTCOMES: Final = frozenset(
-    {Ending.BROKEN, Ending.CRASHED, Ending.CLOSED, Ending.MISDIRECTED}
+    {
+        AttemptOutcome.BROKEN,
+        AttemptOutcome.CRASHED,
+        AttemptOutcome.CLOSED,
+        AttemptOutcome.MISDIRECTED,
+    }
 )
 """Outcomes that a healthy target hardly ever causes."""
 
 
-class Standing(Enum):
+class EjectionState(Enum):
     """State what work a target gets."""
 
     HEALTHY = "well"
@@ -142,7 +150,7 @@
 
     def age_nats(self, age_ms: float) -> float:
         """Return -ln of the probability that healthy work lasts longer than an age."""
-        return self.sample.doubt_nats(age_ms, self.min_suspicious_ms)
+        return self.sample.suspicion_nats(age_ms, self.min_suspicious_ms)
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,7 +163,7 @@
     target: so many are ejected that the rest would be short of slots.
     """
 
-    outcome: Ending
+    outcome: AttemptOutcome
     sender: HostId
     began_ms: float
     ended_ms: float
@@ -175,7 +183,7 @@
     slowness: float = 1.0
     shed_fraction: float = 0.0
     grants: dict[GrantId, Grant] = field(default_factory=dict)
-    ejection_state: Standing = Standing.HEALTHY
+    ejection_state: EjectionState = EjectionState.HEALTHY
     failure_nats: float = 0.0
     last_failed_ms: float = float("-inf")
     last_used_ms: float = float("-inf")
@@ -203,12 +211,12 @@
     @property
     def concurrency_limit(self) -> int:
         """Return how many requests the target may run at once."""
-        if self.ejection_state is not Standing.TRIAL:
+        if self.ejection_state is not EjectionState.TRIAL:
             return self.listed.slots
         # Each answer is evidence for the target and admits one more request at a time.
         return min(self.listed.slots, 1 + self.trial_answers)
 
-    def doubt_nats(self, now_ms: float) -> float:
+    def suspicion_nats(self, now_ms: float) -> float:
         """Return the evidence of a hang from the ages of the running work."""
         if not self.grants:
             return 0.0
@@ -240,7 +248,10 @@
 
     def end_due_ejection(self, now_ms: float) -> None:
         """Begin a trial if the ejection is over."""
-        if self.ejection_state is Standing.EJECTED and now_ms >= self.ejected_until_ms:
+        if (
+            self.ejection_state is EjectionState.EJECTED
+            and now_ms >= self.ejected_until_ms
+        ):
             self.begin_trial(now_ms)
 
     def drop_expired(self, now_ms: float) -> None:
@@ -256,19 +267,19 @@
     def record_result(self, result: AttemptResult) -> None:
         """Update the state by the result of one attempt."""
         now_ms = result.ended_ms
-        if result.outcome is Ending.ANSWERED:
+        if result.outcome is AttemptOutcome.ANSWERED:
             self._record_answer(result, now_ms)
-        elif result.outcome is Ending.ERROR:
+        elif result.outcome is AttemptOutcome.ERROR:
             self._add_failure_evidence(ERROR_NATS, result, now_ms)
         elif result.outcome in EJECTING_OUTCOMES:
             # A healthy target hardly ever breaks a connection; a gray one breaks all.
             self.last_failed_ms = now_ms
             self.eject(now_ms)
-        elif result.outcome is Ending.UNREACHED:
+        elif result.outcome is AttemptOutcome.UNREACHED:
             self._record_unreached(result, now_ms)
-        elif result.outcome in (Ending.SILENT, Ending.ABANDONED):
+        elif result.outcome in (AttemptOutcome.SILENT, AttemptOutcome.ABANDONED):
             self._record_missing_answer(result, now_ms)
-        elif result.outcome is Ending.SHED:
+        elif result.outcome is AttemptOutcome.SHED:
             self._record_shed(now_ms)
 
     def _record_answer(self, result: AttemptResult, now_ms: float) -> None:
@@ -279,17 +290,20 @@
         self.last_success_ms = max(self.last_success_ms, result.began_ms)
         self.unreached_at_ms.clear()
         self.avoid_until_ms.pop(result.sender, None)
-        if self.ejection_state is Standing.TRIAL:
+        if self.ejection_state is EjectionState.TRIAL:
             self.trial_answers += 1
             if self.trial_answers >= TRIAL_ANSWERS:
-                self.ejection_state = Standing.HEALTHY
+                self.ejection_state = EjectionState.HEALTHY
                 self.trial_passed_ms = now_ms
                 self.failure_nats = 0.0
 
     def _record_missing_answer(self, result: AttemptResult, now_ms: float) -> None:
         # The request may hang: its caller's deadline passed, or another target answered
         # first. If it were ignored, the next request would hang as well.
-        if result.age_nats >= SUSPICIOUS_AGE_NATS and result.outcome is Ending.SILENT:
+        if (
+            result.age_nats >= SUSPICIOUS_AGE_NATS
+            and result.outcome is AttemptOutcome.SILENT
+        ):
             self.avoid_until_ms[result.sender] = now_ms + PATH_AVOIDANCE_MS
         if result.age_nats > 1.0:
             self._add_failure_evidence(result.age_nats - 1.0, result, result.began_ms)
@@ -311,7 +325,7 @@
         self.unreached_at_ms[result.sender] = now_ms
         since_ms = now_ms - AGREEMENT_MS
         recent = [at_ms for at_ms in self.unreached_at_ms.values() if at_ms > since_ms]
-        if len(recent) < 2 or self.ejection_state is Standing.EJECTED:  # noqa: PLR2004 - one
+        if len(recent) < 2 or self.ejection_state is EjectionState.EJECTED:  # noqa: PLR2004 - one
             return
         if len(recent) * result.unreached_nats >= EJECT_NATS:
             self.last_failed_ms = now_ms
@@ -321,10 +335,12 @@
         self, failure_nats: float, result: AttemptResult, failed_ms: float
     ) -> None:
         self.last_failed_ms = max(self.last_failed_ms, failed_ms)
-        if self.ejection_state is Standing.EJECTED:
+        if self.ejection_state is EjectionState.EJECTED:
             return
         self.failure_nats = min(SUSPECT_MAX_NATS, self.failure_nats + failure_nats)
-        limit_nats = TRIAL_NATS if self.ejection_state is Standing.TRIAL else EJECT_NATS
+        limit_nats = (
+            TRIAL_NATS if self.ejection_state is EjectionState.TRIAL else EJECT_NATS
+        )
         if self.failure_nats >= limit_nats and result.may_eject:
             self.eject(result.ended_ms)
 
@@ -333,10 +349,10 @@
 
         Work that was running at its ejection ends after it, and is no relapse.
         """
-        if self.ejection_state is Standing.EJECTED:
+        if self.ejection_state is EjectionState.EJECTED:
             return
         relapsed = (
-            self.ejection_state is Standing.TRIAL
+            self.ejection_state is EjectionState.TRIAL
             or now_ms - self.trial_passed_ms < RELAPSE_MS
         )
         doubled_ms = min(EJECTION_MAX_MS, self.ejection_ms * 2)
@@ -344,19 +360,19 @@
         self._eject_for(self.ejection_ms, now_ms)
 
     def _eject_for(self, length_ms: float, now_ms: float) -> None:
-        self.ejection_state = Standing.EJECTED
+        self.ejection_state = EjectionState.EJECTED
         self.ejected_until_ms = now_ms + length_ms
         self.failure_nats = 0.0
 
     def may_be_tried(self, now_ms: float) -> bool:
         """Return True if an idempotent request may try the ejected target."""
-        if self.ejection_state is not Standing.EJECTED:
+        if self.ejection_state is not EjectionState.EJECTED:
             return False
         return now_ms - self.last_failed_ms >= HEALTHY_AFTER_MS
 
     def begin_trial(self, now_ms: float) -> None:
         """End the ejection; the target has to pass a trial."""
-        self.ejection_state = Standing.TRIAL
+        self.ejection_state = EjectionState.TRIAL
         self.trial_answers = 0
         self.failure_nats = 0.0
         self.ejected_until_ms = min(self.ejected_until_ms, now_ms)
--- a/src/crocusspindle/core/wait_line.py
+++ b/src/crocusspindle/core/wait_queue.py
@@ -2,24 +2,24 @@
 
 from collections.abc import Iterator
 
-from crocusspindle.core.asks import Waiting
+from crocusspindle.core.placement_request import QueuedRequest
 
 
 class WaitQueue:
     """Keep requests in order of arrival and yield them in order of service."""
 
     def __init__(self) -> None:
-        self._entries: list[Waiting] = []
+        self._entries: list[QueuedRequest] = []
 
     def __len__(self) -> int:
         """Return how many requests are queued."""
         return len(self._entries)
 
-    def add(self, entry: Waiting) -> None:
+    def add(self, entry: QueuedRequest) -> None:
         """Append a request behind all others of its priority."""
         self._entries.append(entry)
 
-    def remove(self, entry: Waiting) -> None:
+    def remove(self, entry: QueuedRequest) -> None:
         """Drop a request, whether or not it is queued."""
         self._entries = [other for other in self._entries if other is not entry]
 
@@ -30,7 +30,7 @@
             for entry in self._entries
         )
 
-    def in_order(self, now_ms: float) -> Iterator[Waiting]:
+    def in_order(self, now_ms: float) -> Iterator[QueuedRequest]:
         """Yield all queued requests, those first that can still be on time."""
         yield from sorted(
             self._entries,
--- a/src/crocusspindle/gateway/assembly.py
+++ b/src/crocusspindle/gateway/assembly.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from crocusspindle.core.byte_pace import BytePace
+from crocusspindle.core.byte_rate_limiter import ByteRateLimiter
 from crocusspindle.core.policies import Policies
 from crocusspindle.core.reader_choice import ReaderChoice
 from crocusspindle.core.view import NodeAddress
@@ -70,7 +70,7 @@
     reading = Reading(platform, knowledge)
     quota = Quota(node, bounds, exchange, knowledge, began_ms)
     choice = ReaderChoice(node.host, draw)
-    pace = BytePace(settings.contents_bytes_per_ms)
+    pace = ByteRateLimiter(settings.contents_bytes_per_ms)
     membership = Membership(
         node, exchange, knowledge, reading, quota.expired_keys, choice, pace, draw
     )
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -5,10 +5,10 @@
 from typing import ClassVar, Final
 
 from crocusspindle.clock import wall_ms
-from crocusspindle.core.asks import Refused
 from crocusspindle.core.crash_record import CrashRecord
 from crocusspindle.core.crash_table import Isolation
 from crocusspindle.core.crash_watch import CrashWatch
+from crocusspindle.core.placement_request import PlacementRefused
 from crocusspindle.gateway import instruments
 from crocusspindle.gateway.exchange import Address, Exchange
 from crocusspindle.gateway.knowledge import Knowledge, packed_record, unpacked_record
@@ -47,10 +47,10 @@
             self._log_record("crash record heard", record, told_by=sender[0])
         return Done()
 
-    def refusal(self, content: ContentDigest) -> Refused | None:
+    def refusal(self, content: ContentDigest) -> PlacementRefused | None:
         """Return the refusal of a request that is held; None if it may be sent."""
         left_ms = self._knowledge.crashes.held_until_ms(content) - wall_ms()
-        return Refused("held", left_ms) if left_ms > 0.0 else None
+        return PlacementRefused("held", left_ms) if left_ms > 0.0 else None
 
     def is_held(self, content: ContentDigest) -> bool:
         """Return True if a request may only be sent as a trial."""
--- a/src/crocusspindle/gateway/entry.py
+++ b/src/crocusspindle/gateway/entry.py
@@ -9,7 +9,7 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.core.configuration import Configuration, CustomerRule
 from crocusspindle.core.quota_keeper import Admitted, OverRate
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.core.versioned_state import VersionedState
 from crocusspindle.gateway import instruments
 from crocusspindle.gateway.admission import Admission
@@ -221,7 +221,7 @@
 def _failure(case: Case, sent: Sent) -> Refusal:
     if not case.may_have_run:
         return Refusal(503, f"target-{sent.ending.value}", 200.0)
-    if sent.ending is Ending.SILENT:
+    if sent.ending is AttemptOutcome.SILENT:
         return Refusal(504, "target-silent")
     return Refusal(502, f"target-{sent.ending.value}")
 
--- a/src/crocusspindle/gateway/membership.py
+++ b/src/crocusspindle/gateway/membership.py
@@ -7,7 +7,7 @@
 from typing import ClassVar, Final
 
 from crocusspindle.clock import now_ms
-from crocusspindle.core.byte_pace import BytePace
+from crocusspindle.core.byte_rate_limiter import ByteRateLimiter
 from crocusspindle.core.reader_choice import ReaderChoice
 from crocusspindle.core.rendezvous import order
 from crocusspindle.core.view import NodeAddress, ViewEntryKey
@@ -84,7 +84,7 @@
         reading: Reading,
         expired_keys: Callable[[], set[ViewEntryKey]],
         choice: ReaderChoice,
-        pace: BytePace,
+        pace: ByteRateLimiter,
         draw: random.Random,
     ) -> None:
         self._node = node
@@ -285,7 +285,7 @@
         length = state.contents_bytes
         if length > CONTENTS_MAX_BYTES:
             return False
-        return length == 0 or self._pace.take(length, now_ms())
+        return length == 0 or self._pace.try_consume(length, now_ms())
 
     async def _consult(self) -> None:
         others = self._known().keys() - {self._node.host}
--- a/src/crocusspindle/gateway/messages.py
+++ b/src/crocusspindle/gateway/messages.py
@@ -6,7 +6,7 @@
 
 import msgpack
 
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.errors import PeerError
 from crocusspindle.gateway.updates import WHOLE
 
@@ -14,7 +14,7 @@
 """A datagram holds 65,507 bytes, and a longer one is lost without a word: its reader
 would be taken for silent by every host that asks."""
 
-ENDINGS: Final = tuple(Ending)
+ENDINGS: Final = tuple(AttemptOutcome)
 """A sending's end travels as its place here."""
 
 _BY_CODE: Final[dict[int, type[Any]]] = {}
@@ -166,7 +166,7 @@
     aim_ms: int
     left_ms: int
     body_bytes: int
-    repeat: bool
+    retry: bool
     hedge: bool
     counted: bool
     content: str
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -5,12 +5,17 @@
 from typing import ClassVar, Final
 
 from crocusspindle.clock import now_ms
-from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.listed_target import ListedTarget, TargetIdentity
+from crocusspindle.core.placement_request import (
+    PlacementGranted,
+    PlacementRefused,
+    PlacementRequest,
+    QueuedRequest,
+)
 from crocusspindle.core.policies import Policies
 from crocusspindle.core.rate_limit import LimitReport
 from crocusspindle.core.service_placer import ServicePlacer
-from crocusspindle.core.target_gauge import Ending, Standing
+from crocusspindle.core.target_tracker import AttemptOutcome, EjectionState
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.exchange import Address, Exchange
@@ -69,7 +74,7 @@
         self._placers: dict[ServiceId, ServicePlacer] = {}
         self.targets: dict[TargetIdentity, ListedTarget] = {}
         self._targets_digest = 0
-        self._settled: dict[int, tuple[Waiting, asyncio.Event]] = {}
+        self._settled: dict[int, tuple[QueuedRequest, asyncio.Event]] = {}
         self.on_ejected: Callable[[TargetIdentity, float], None] = _ignore
         self._log = Logger("placing")
 
@@ -134,7 +139,7 @@
         refused = self._crashes.refusal(content)
         if refused is not None:
             return RefusedAnswer(refused.reason, refused.retry_after_ms)
-        ask = Ask(
+        placement_request = PlacementRequest(
             sender=HostId(sender[0]),
             domain=self.ranks.domain_of(sender),
             route=message.route,
@@ -142,7 +147,7 @@
             priority=message.priority,
             aim_ms=message.aim_ms,
             deadline_ms=at_ms + message.left_ms,
-            repeat=message.repeat,
+            retry=message.retry,
             hedge=message.hedge,
             counted=message.counted,
             body_bytes=message.body_bytes,
@@ -153,15 +158,15 @@
         placer = self._placer(ServiceId(message.service))
         for report in unpacked_limits(message.limits, at_ms):
             self._take_limit(placer, report)
-        answer = placer.ask(ask, at_ms)
+        answer = placer.request_placement(placement_request, at_ms)
         self._repeats.tell_if_due(ServiceId(message.service))
-        if isinstance(answer, Refused) and answer.reason == "repeats":
+        if isinstance(answer, PlacementRefused) and answer.reason == "repeats":
             self._repeats.log_bound(ServiceId(message.service))
-        if isinstance(answer, Waiting):
+        if isinstance(answer, QueuedRequest):
             answer = await self._wait(placer, answer)
         self._tell_changes(ServiceId(message.service), placer)
-        if isinstance(answer, Placed):
-            if ask.trial:
+        if isinstance(answer, PlacementGranted):
+            if placement_request.trial:
                 self._crashes.begin_trial(
                     ServiceId(message.service), self.ranks, content
                 )
@@ -172,7 +177,7 @@
         return RefusedAnswer(answer.reason, answer.retry_after_ms)
 
     def _take_limit(self, placer: ServicePlacer, report: LimitReport) -> None:
-        if placer.take_limit(report, now_ms()):
+        if placer.update_limit(report, now_ms()):
             log_state_change(
                 self._log,
                 "target limit changed",
@@ -183,9 +188,11 @@
     async def _paced_note(self, note: PacedNote, sender: Address) -> None:
         placer = self._placer(ServiceId(note.service))
         for report in unpacked_limits(note.limits, now_ms()):
-            placer.count_paced(report, now_ms())
+            placer.count_limited_attempt(report, now_ms())
 
-    async def _wait(self, placer: ServicePlacer, waiting: Waiting) -> Placed | Refused:
+    async def _wait(
+        self, placer: ServicePlacer, waiting: QueuedRequest
+    ) -> PlacementGranted | PlacementRefused:
         settled = asyncio.Event()
         self._settled[id(waiting)] = (waiting, settled)
         try:
@@ -208,7 +215,7 @@
         while True:
             await asyncio.sleep(SETTLE_S if self._settled else IDLE_SETTLE_S)
             for service, placer in self._placers.items():
-                placer.settle(now_ms())
+                placer.process_due(now_ms())
                 self._tell_changes(service, placer)
             self._wake_settled()
 
@@ -218,7 +225,10 @@
             # It left the list, and what was known of it with it.
             return Done()
         placer = self._placer(target.service)
-        if note.limit_per_s is not None or ENDINGS[note.ending] is Ending.ANSWERED:
+        if (
+            note.limit_per_s is not None
+            or ENDINGS[note.ending] is AttemptOutcome.ANSWERED
+        ):
             sent_ms = now_ms() - note.latency_ms
             report = LimitReport(target.identity, note.limit_per_s, sent_ms)
             self._take_limit(placer, report)
@@ -234,17 +244,17 @@
         crashed = placer.crash_watch.has_reports
         self._crashes.take(target.service, self.ranks, placer.crash_watch)
         if crashed:
-            placer.settle(now_ms())
+            placer.process_due(now_ms())
         self._wake_settled()
         self._tell_changes(target.service, placer)
         return Done()
 
     def _tell_changes(self, service: ServiceId, placer: ServicePlacer) -> None:
-        paced = packed_limits(placer.paced(), now_ms())
-        if paced:
-            self.ranks.tell_others(service, PacedNote(service, paced))
+        recent_limits = packed_limits(placer.recent_limits(), now_ms())
+        if recent_limits:
+            self.ranks.tell_others(service, PacedNote(service, recent_limits))
         for change in placer.changes():
-            ejected = change.standing is Standing.EJECTED
+            ejected = change.standing is EjectionState.EJECTED
             left_ms = round(change.until_ms - now_ms())
             log_state_change(
                 self._log,
@@ -267,7 +277,7 @@
     async def _ejected_note(self, note: EjectedNote, sender: Address) -> None:
         until_ms = now_ms() + note.left_ms
         target = TargetIdentity(note.target)
-        self._placer(ServiceId(note.service)).adopt(target, until_ms, now_ms())
+        self._placer(ServiceId(note.service)).apply_ejection(target, until_ms, now_ms())
         self.on_ejected(target, until_ms)
 
 
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -5,11 +5,11 @@
 from typing import ClassVar, Final
 
 from crocusspindle.clock import now_ms
-from crocusspindle.core.asks import Ask, Refused
 from crocusspindle.core.fallback_choice import FallbackChoice
 from crocusspindle.core.listed_target import ListedTarget, TargetIdentity
+from crocusspindle.core.placement_request import PlacementRefused, PlacementRequest
 from crocusspindle.core.rate_limit import LimitReport
-from crocusspindle.core.target_gauge import EJECTION_MS, Ending
+from crocusspindle.core.target_tracker import EJECTION_MS, AttemptOutcome
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.exchange import Address, Exchange
 from crocusspindle.gateway.messages import (
@@ -77,12 +77,14 @@
         note = EndedNote(
             answer.target,
             answer.grant,
-            ENDINGS.index(Ending.ABANDONED),
+            ENDINGS.index(AttemptOutcome.ABANDONED),
             0,
         )
         self.spawn(self._exchange.ask(placer, note, SILENT_S, SILENT_S))
 
-    async def place(self, service: ServiceId, ask: Ask) -> Place | Refused:
+    async def place(
+        self, service: ServiceId, ask: PlacementRequest
+    ) -> Place | PlacementRefused:
         """Return where to send a request, from its placer or by own choice."""
         await self._placers.until_listed()
         asked = 0
@@ -98,8 +100,8 @@
         return self._place_alone(service, ask)
 
     async def _ask_placer(
-        self, host: HostId, service: ServiceId, ask: Ask, counted: bool
-    ) -> Place | Refused | None:
+        self, host: HostId, service: ServiceId, ask: PlacementRequest, counted: bool
+    ) -> Place | PlacementRefused | None:
         to = self._placers.ranks.address(host)
         if to is None:
             return None
@@ -112,7 +114,7 @@
             round(ask.aim_ms),
             round(left_ms),
             ask.body_bytes,
-            ask.repeat,
+            ask.retry,
             ask.hedge,
             counted,
             ask.content,
@@ -121,7 +123,7 @@
         )
         answer = await self._exchange.ask(to, message, SILENT_S, left_ms / 1e3)
         if isinstance(answer, RefusedAnswer):
-            return Refused(answer.reason, answer.retry_after_ms)
+            return PlacementRefused(answer.reason, answer.retry_after_ms)
         if not isinstance(answer, PlaceAnswer):
             self._suspect_until_ms[host] = now_ms() + SUSPECT_MS
             log_state_change(
@@ -145,12 +147,14 @@
             and entry.service == service
         ]
 
-    def _place_alone(self, service: ServiceId, ask: Ask) -> Place | Refused:
-        if ask.repeat:
-            return Refused("repeats", EJECTION_MS)
+    def _place_alone(
+        self, service: ServiceId, ask: PlacementRequest
+    ) -> Place | PlacementRefused:
+        if ask.retry:
+            return PlacementRefused("repeats", EJECTION_MS)
         if self._crashes.is_suspect(ask.content):
             # Nobody sees here what else runs at a target, or runs this request.
-            return Refused("suspect", EJECTION_MS)
+            return PlacementRefused("suspect", EJECTION_MS)
         # How much the others send to a target with a limit is not known here.
         limited = {report.target for report in self._limits_of(service)}
         open_to_all = [
@@ -158,7 +162,7 @@
         ]
         target = self._fallback.choose(open_to_all, now_ms())
         if target is None:
-            return Refused("no-target", 500.0)
+            return PlacementRefused("no-target", 500.0)
         self._fallback.began(target.identity)
         return Place(service, target, FALLBACK_HEDGE_MS)
 
@@ -169,7 +173,7 @@
         note = EndedNote(
             place.target.identity,
             place.grant or 0,
-            ENDINGS.index(Ending.CRASHED),
+            ENDINGS.index(AttemptOutcome.CRASHED),
             round(latency_ms),
             content,
         )
@@ -193,16 +197,20 @@
         self,
         place: Place,
         content: ContentDigest,
-        ending: Ending,
+        ending: AttemptOutcome,
         latency_ms: float,
         limit_per_s: float | None,
     ) -> None:
         """Tell the placer how a sending ended."""
-        if limit_per_s is not None or ending is Ending.ANSWERED:
+        if limit_per_s is not None or ending is AttemptOutcome.ANSWERED:
             sent_ms = now_ms() - latency_ms
             self._limits.take(LimitReport(place.target.identity, limit_per_s, sent_ms))
-        failed = ending not in (Ending.ANSWERED, Ending.ABANDONED, Ending.SHED)
-        if failed and ending is not Ending.ERROR:
+        failed = ending not in (
+            AttemptOutcome.ANSWERED,
+            AttemptOutcome.ABANDONED,
+            AttemptOutcome.SHED,
+        )
+        if failed and ending is not AttemptOutcome.ERROR:
             self._fallback.avoid(place.target.identity, now_ms() + EJECTION_MS)
         if place.placer_at is None or place.grant is None:
             self._fallback.ended(place.target.identity)
@@ -212,7 +220,7 @@
             place.grant,
             ENDINGS.index(ending),
             round(latency_ms),
-            content if ending is Ending.BROKEN else "",
+            content if ending is AttemptOutcome.BROKEN else "",
             limit_per_s,
         )
         # Also to a placer that the view names no more: it goes on placing for a while,
--- a/src/crocusspindle/gateway/sender.py
+++ b/src/crocusspindle/gateway/sender.py
@@ -11,7 +11,7 @@
 
 from crocusspindle.clock import now_ms, remaining_s
 from crocusspindle.core.listed_target import ListedTarget
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.errors import InvalidInputError
 from crocusspindle.gateway.dialect import Dialect
 from crocusspindle.gateway.strict_connector import strict_connector
@@ -64,7 +64,7 @@
 class Sent:
     """Tell how a sending ended."""
 
-    ending: Ending
+    ending: AttemptOutcome
     latency_ms: float
     answer: Answer | None = None
     detail: str = ""
@@ -115,19 +115,19 @@
             async with asyncio.timeout(remaining_s(deadline_ms)):
                 sent = await self._exchange(target, outgoing, deadline_ms)
         except aiohttp.ConnectionTimeoutError as error:
-            sent = Sent(Ending.UNREACHED, 0.0, detail=str(error))
+            sent = Sent(AttemptOutcome.UNREACHED, 0.0, detail=str(error))
         except aiohttp.ClientConnectorError as error:
-            sent = Sent(Ending.CLOSED, 0.0, detail=str(error))
+            sent = Sent(AttemptOutcome.CLOSED, 0.0, detail=str(error))
         except TimeoutError:
-            sent = Sent(Ending.SILENT, 0.0, detail="no answer in time")
+            sent = Sent(AttemptOutcome.SILENT, 0.0, detail="no answer in time")
         except CONNECTION_LOST as error:
             sent = Sent(await self._loss(target), 0.0, detail=repr(error))
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            sent = Sent(Ending.BROKEN, 0.0, detail=repr(error))
+            sent = Sent(AttemptOutcome.BROKEN, 0.0, detail=repr(error))
         sent.latency_ms = now_ms() - began_ms
         return sent
 
-    async def _loss(self, target: ListedTarget) -> Ending:
+    async def _loss(self, target: ListedTarget) -> AttemptOutcome:
         # A gray target that breaks connections takes the next one; the port of a
         # process that ended refuses it.
         host, _, port = target.address.rpartition(":")
@@ -135,11 +135,11 @@
             async with asyncio.timeout(CRASH_CHECK_S):
                 _, writer = await asyncio.open_connection(host, int(port))
         except ConnectionError:
-            return Ending.CRASHED
+            return AttemptOutcome.CRASHED
         except (TimeoutError, OSError):
-            return Ending.BROKEN
+            return AttemptOutcome.BROKEN
         writer.close()
-        return Ending.BROKEN
+        return AttemptOutcome.BROKEN
 
     async def _exchange(
         self, target: ListedTarget, outgoing: Outgoing, deadline_ms: float
@@ -158,7 +158,7 @@
         )
         try:
             sent = await self._judge(response, outgoing)
-            if sent.ending is not Ending.MISDIRECTED:
+            if sent.ending is not AttemptOutcome.MISDIRECTED:
                 sent.limit_per_s = self._limit_per_s(target, response)
             return sent
         except BaseException:
@@ -182,7 +182,7 @@
         echoed = response.headers.get(self._dialect.request_id)
         if echoed is not None and echoed != outgoing.request_id:
             response.close()
-            return Sent(Ending.BROKEN, 0.0, detail="answer of another request")
+            return Sent(AttemptOutcome.BROKEN, 0.0, detail="answer of another request")
         refused = self._refusal(response)
         if refused is not None:
             response.close()
@@ -190,22 +190,26 @@
         body, whole = await _first_part(response)
         if response.status in SUCCESS and not self._proper(response):
             response.close()
-            return Sent(Ending.BROKEN, 0.0, detail="not the target's answer")
+            return Sent(AttemptOutcome.BROKEN, 0.0, detail="not the target's answer")
         answer = Answer(response.status, forwarded(response.headers), body)
         if not whole:
             answer.rest = response
         failed = response.status >= SERVER_ERROR
-        return Sent(Ending.ERROR if failed else Ending.ANSWERED, 0.0, answer)
+        return Sent(
+            AttemptOutcome.ERROR if failed else AttemptOutcome.ANSWERED, 0.0, answer
+        )
 
     def _refusal(self, response: aiohttp.ClientResponse) -> Sent | None:
         if response.status == MISDIRECTED:
-            return Sent(Ending.MISDIRECTED, 0.0, detail="another target is there")
+            return Sent(
+                AttemptOutcome.MISDIRECTED, 0.0, detail="another target is there"
+            )
         if self._dialect.not_run in response.headers:
-            return Sent(Ending.SHED, 0.0, detail=f"status {response.status}")
+            return Sent(AttemptOutcome.SHED, 0.0, detail=f"status {response.status}")
         if response.status in PROMISES:
             # Without the header nothing says that the request was not run, and the
             # status would tell the caller just that.
-            return Sent(Ending.ERROR, 0.0, detail=f"status {response.status}")
+            return Sent(AttemptOutcome.ERROR, 0.0, detail=f"status {response.status}")
         return None
 
     def _proper(self, response: aiohttp.ClientResponse) -> bool:
--- a/src/crocusspindle/gateway/sending.py
+++ b/src/crocusspindle/gateway/sending.py
@@ -5,9 +5,9 @@
 from typing import Final
 
 from crocusspindle.clock import now_ms
-from crocusspindle.core.asks import Ask
 from crocusspindle.core.configuration import LOWEST_PRIORITY, choose_service
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.placement_request import PlacementRequest
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.gateway import instruments
 from crocusspindle.gateway.answers import Refusal
@@ -55,26 +55,26 @@
     async def send(self, case: Case) -> Sent:
         """Return how the last sending ended; raise ``Refusal`` if none took place."""
         service = choose_service(case.route.weighted_services, self._draw.random())
-        repeat = False
+        retry = False
         last: Sent | None = None
         while True:
-            place = await self._place(case, service, repeat, last)
+            place = await self._place(case, service, retry, last)
             if isinstance(place, Sent):
                 return place
             last = await self._send_watched(case, place, service)
             if not self._again(case, last):
                 return last
-            repeat = case.arrived > 0
+            retry = case.arrived > 0
 
     async def _place(
         self,
         case: Case,
         service: ServiceId,
-        repeat: bool,
+        retry: bool,
         last: Sent | None,
         hedge: bool = False,
     ) -> Place | Sent:
-        ask = Ask(
+        ask = PlacementRequest(
             sender=self._node.host,
             domain=self._node.domain,
             route=case.route.name,
@@ -82,7 +82,7 @@
             priority=min(case.priority, LOWEST_PRIORITY),
             aim_ms=max(0.0, case.route.aim_ms - (now_ms() - case.began_ms)),
             deadline_ms=case.ends_ms,
-            repeat=repeat,
+            retry=retry,
             hedge=hedge,
             body_bytes=case.body_bytes,
             content=case.content,
@@ -97,7 +97,7 @@
 
     def _again(self, case: Case, sent: Sent) -> bool:
         """Return True if the request should be sent to another target."""
-        if sent.ending is Ending.ANSWERED:
+        if sent.ending is AttemptOutcome.ANSWERED:
             return False
         streamed = not isinstance(case.outgoing.body, bytes | None)
         if streamed or now_ms() >= case.ends_ms:
@@ -149,16 +149,16 @@
     async def _send_once(self, case: Case, place: Place) -> Sent:
         began_ms = now_ms()
         case.tried.add(place.target.identity)
-        ending, sent = Ending.ABANDONED, None
+        ending, sent = AttemptOutcome.ABANDONED, None
         try:
             sent = await self._sender.send(place.target, case.outgoing, case.ends_ms)
             ending = sent.ending
-            if ending is Ending.CRASHED:
+            if ending is AttemptOutcome.CRASHED:
                 await self._placing.crashed(place, case.content, sent.latency_ms)
             return sent
         finally:
             latency_ms = now_ms() - began_ms
-            if ending is not Ending.CRASHED:
+            if ending is not AttemptOutcome.CRASHED:
                 limit_per_s = sent.limit_per_s if sent else None
                 self._placing.ended(
                     place, case.content, ending, latency_ms, limit_per_s
@@ -187,7 +187,7 @@
         done, running = await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
             sent = task.result()
-            if sent.ending is Ending.ANSWERED:
+            if sent.ending is AttemptOutcome.ANSWERED:
                 return sent
     assert sent is not None
     return sent
--- a/src/crocusspindle_standins/virtual/fleet.py
+++ b/src/crocusspindle_standins/virtual/fleet.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from crocusspindle.core.byte_pace import BytePace
+from crocusspindle.core.byte_rate_limiter import ByteRateLimiter
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
 from crocusspindle.core.reader_choice import ReaderChoice
 from crocusspindle.core.view import NodeAddress
@@ -79,7 +79,7 @@
             self.reading,
             set,
             ReaderChoice(address.host, draw),
-            BytePace(size.link_mbit_s * BYTES_PER_MS * CONTENTS_LINK_PART),
+            ByteRateLimiter(size.link_mbit_s * BYTES_PER_MS * CONTENTS_LINK_PART),
             draw,
         )
         self.membership.is_ready = lambda: self.knowledge.view.content is not None
--- a/tests/core/test_any_service.py
+++ b/tests/core/test_any_service.py
@@ -11,16 +11,16 @@
 import pytest
 
 from benchmarks.placing_trial import Gray, PlacingTrial, Site, Work
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 
 SERVICES = 24
 REQUESTS = 3_000
 GRAY_OUTCOMES = (
-    Ending.SILENT,
-    Ending.BROKEN,
-    Ending.ERROR,
-    Ending.SHED,
-    Ending.ANSWERED,
+    AttemptOutcome.SILENT,
+    AttemptOutcome.BROKEN,
+    AttemptOutcome.ERROR,
+    AttemptOutcome.SHED,
+    AttemptOutcome.ANSWERED,
 )
 
 
--- a/tests/core/test_floor_under_trouble.py
+++ b/tests/core/test_floor_under_faults.py
@@ -6,11 +6,16 @@
 
 import pytest
 
-from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
+from crocusspindle.core.placement_request import (
+    PlacementGranted,
+    PlacementRefused,
+    PlacementRequest,
+    QueuedRequest,
+)
 from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.ids import DomainId, HostId, ServiceId
 
 FLOOR_SHARE = 0.7
@@ -38,7 +43,7 @@
     from_ms: float
     to_ms: float
     share: float
-    outcome: Ending
+    outcome: AttemptOutcome
 
     @property
     def healthy_from_ms(self) -> float:
@@ -47,22 +52,26 @@
         return self.to_ms + (HEALTHY_AFTER_LONG_MS if long else HEALTHY_AFTER_MS)
 
 
-ALWAYS_BROKEN = Fault(range(7), 0.0, RUN_MS, 1.0, Ending.BROKEN)
-NEVER_REACHED = Fault(range(7, 14), 0.0, RUN_MS, 1.0, Ending.UNREACHED)
+ALWAYS_BROKEN = Fault(range(7), 0.0, RUN_MS, 1.0, AttemptOutcome.BROKEN)
+NEVER_REACHED = Fault(range(7, 14), 0.0, RUN_MS, 1.0, AttemptOutcome.UNREACHED)
 BROKEN_INTERMITTENTLY = [
-    Fault(range(14, 32), at, at + 500.0, 0.5, Ending.BROKEN)
+    Fault(range(14, 32), at, at + 500.0, 0.5, AttemptOutcome.BROKEN)
     for at in (2_000.0, 5_500.0, 9_500.0, 14_500.0)
 ]
-HANGS = Fault(range(34, 40), 6_000.0, 12_000.0, 0.7, Ending.SILENT)
+HANGS = Fault(range(34, 40), 6_000.0, 12_000.0, 0.7, AttemptOutcome.SILENT)
 ERRORS_INTERMITTENTLY = [
-    Fault(range(8, 16), at, at + 700.0, 0.5, Ending.ERROR)
+    Fault(range(8, 16), at, at + 700.0, 0.5, AttemptOutcome.ERROR)
     for at in range(500, 24_000, 1_500)
 ]
 HANGS_BRIEFLY = [
-    Fault(range(16, 28), at, at + 900.0, 1.0, Ending.SILENT)
+    Fault(range(16, 28), at, at + 900.0, 1.0, AttemptOutcome.SILENT)
     for at in (2_000.0, 11_000.0)
 ]
-DURATIONS_MS = {Ending.BROKEN: 3.0, Ending.UNREACHED: 300.0, Ending.SILENT: DEADLINE_MS}
+DURATIONS_MS = {
+    AttemptOutcome.BROKEN: 3.0,
+    AttemptOutcome.UNREACHED: 300.0,
+    AttemptOutcome.SILENT: DEADLINE_MS,
+}
 
 
 @dataclass
@@ -75,8 +84,8 @@
     idempotent: bool
     tried_targets: set[TargetIdentity] = field(default_factory=set)
 
-    def placement_request(self, now_ms: float) -> Ask:
-        return Ask(
+    def placement_request(self, now_ms: float) -> PlacementRequest:
+        return PlacementRequest(
             self.sender,
             self.domain,
             "r",
@@ -95,8 +104,8 @@
     at_ms: float
     number: int
     caller_request: Case = field(compare=False)
-    placement: Placed = field(compare=False)
-    outcome: Ending = field(compare=False)
+    placement: PlacementGranted = field(compare=False)
+    outcome: AttemptOutcome = field(compare=False)
     latency_ms: float = field(compare=False)
 
 
@@ -116,7 +125,7 @@
         self._speed_factors = [self._rng.uniform(0.6, 2.2) for _ in range(TARGETS)]
         self._number = 0
         self._attempt_ends: list[AttemptEnd] = []
-        self._waiting: list[tuple[Case, Waiting]] = []
+        self._waiting: list[tuple[Case, QueuedRequest]] = []
 
     def run(self) -> None:
         """Send requests at random times until the end of the run."""
@@ -135,8 +144,10 @@
         )
 
     def _request_target(self, caller_request: "Case", now_ms: float) -> None:
-        decision = self.placer.ask(caller_request.placement_request(now_ms), now_ms)
-        if isinstance(decision, Waiting):
+        decision = self.placer.request_placement(
+            caller_request.placement_request(now_ms), now_ms
+        )
+        if isinstance(decision, QueuedRequest):
             self._waiting.append((caller_request, decision))
         else:
             self._start_attempt(caller_request, decision, now_ms)
@@ -150,18 +161,20 @@
     def _start_attempt(
         self,
         caller_request: "Case",
-        placement: Placed | Refused,
+        placement: PlacementGranted | PlacementRefused,
         now_ms: float,
     ) -> None:
-        if isinstance(placement, Refused):
+        if isinstance(placement, PlacementRefused):
             self.results.append((caller_request.began_ms, False))
             return
         target = int(placement.target.identity[1:])
         caller_request.tried_targets.add(placement.target.identity)
         outcome = self._draw_outcome(target, now_ms)
-        if outcome is not Ending.UNREACHED:
+        if outcome is not AttemptOutcome.UNREACHED:
             self.arrivals_ms[target].append(now_ms)
-            self.results.append((caller_request.began_ms, outcome is Ending.ANSWERED))
+            self.results.append(
+                (caller_request.began_ms, outcome is AttemptOutcome.ANSWERED)
+            )
         work_ms = WORK_MS * self._speed_factors[target] * self._rng.uniform(0.6, 1.4)
         duration_ms = DURATIONS_MS.get(outcome, work_ms)
         self._number += 1
@@ -187,20 +200,20 @@
                 attempt_end.at_ms,
             )
             self._process_decided(attempt_end.at_ms)
-            if attempt_end.outcome is not Ending.UNREACHED:
+            if attempt_end.outcome is not AttemptOutcome.UNREACHED:
                 continue
             if len(attempt_end.caller_request.tried_targets) < MAX_TARGETS_TRIED:
                 self._request_target(attempt_end.caller_request, attempt_end.at_ms)
             else:
                 self.results.append((attempt_end.caller_request.began_ms, False))
 
-    def _draw_outcome(self, target: int, now_ms: float) -> Ending:
+    def _draw_outcome(self, target: int, now_ms: float) -> AttemptOutcome:
         for fault in self._faults:
             runs = fault.from_ms <= now_ms < fault.to_ms
             if target in fault.targets and runs:
                 lost = self._rng.random() < fault.share
-                return fault.outcome if lost else Ending.ANSWERED
-        return Ending.ANSWERED
+                return fault.outcome if lost else AttemptOutcome.ANSWERED
+        return AttemptOutcome.ANSWERED
 
     def _is_healthy(self, target: int, from_ms: float, to_ms: float) -> bool:
         return not any(
@@ -263,7 +276,7 @@
     six seconds, counting against targets that are healthy again: the few that had not
     hung would carry all work, while the others have free slots.
     """
-    broken = Fault(range(8), 0.0, RUN_MS, 1.0, Ending.BROKEN)
+    broken = Fault(range(8), 0.0, RUN_MS, 1.0, AttemptOutcome.BROKEN)
     faults = [broken, *ERRORS_INTERMITTENTLY, *HANGS_BRIEFLY]
     service = ServiceSimulation(faults, 0.0, seed)
     service.run()
--- a/tests/core/test_placing_parts.py
+++ b/tests/core/test_placement_components.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from crocusspindle.core.asks import Ask, Waiting
-from crocusspindle.core.flow import ServiceLoad
+from crocusspindle.core.gray_onset_rate import GrayOnsetRate
 from crocusspindle.core.hedge_time import hedge_after_ms
 from crocusspindle.core.latency_sample import LatencySample
+from crocusspindle.core.placement_request import PlacementRequest, QueuedRequest
 from crocusspindle.core.policies import ALL_POLICIES, Policies, Policy
 from crocusspindle.core.route_latencies import ROUTES_MAX, RouteLatencies
-from crocusspindle.core.turn_rate import GrayOnsetRate
+from crocusspindle.core.service_load import ServiceLoad
 from crocusspindle.core.unreached_share import UnreachedShare
-from crocusspindle.core.wait_line import WaitQueue
+from crocusspindle.core.wait_queue import WaitQueue
 from crocusspindle.errors import InvalidInputError
 from crocusspindle.ids import DomainId, HostId
 
@@ -22,9 +22,11 @@
     return result
 
 
-def queued(priority: int, on_time_until_ms: float) -> Waiting:
-    request = Ask(HostId("e"), DomainId("a"), "r", False, priority, 600.0, 4_000.0)
-    return Waiting(request, 0.0, on_time_until_ms, 3_000.0)
+def queued(priority: int, on_time_until_ms: float) -> QueuedRequest:
+    request = PlacementRequest(
+        HostId("e"), DomainId("a"), "r", False, priority, 600.0, 4_000.0
+    )
+    return QueuedRequest(request, 0.0, on_time_until_ms, 3_000.0)
 
 
 def test_no_request_on_time_waits_behind_a_late_one():
@@ -54,12 +56,12 @@
 def test_routes_are_remembered_separately_and_up_to_a_bound():
     """Guards against thousands of routes, each used once, that displace one in use."""
     latencies = RouteLatencies()
-    assert latencies.sample_for("kept", 400.0).usual_ms == 100.0
+    assert latencies.sample_for("kept", 400.0).typical_ms == 100.0
     for number in range(2 * ROUTES_MAX):
         latencies.add(f"r{number}", 400.0, 500.0)
         latencies.add("kept", 400.0, 20.0)
-    assert latencies.sample_for("kept", 400.0).usual_ms == 20.0
-    assert latencies.sample_for("r3", 400.0).usual_ms == pytest.approx(260.0)
+    assert latencies.sample_for("kept", 400.0).typical_ms == 20.0
+    assert latencies.sample_for("r3", 400.0).typical_ms == pytest.approx(260.0)
 
 
 def test_short_work_that_waited_for_long_work_is_not_suspicious():
@@ -73,8 +75,8 @@
         latencies.add("short", 400.0, 5.0)
         latencies.add("long", 2_000.0, 500.0)
     short = latencies.sample_for("short", 400.0)
-    assert short.doubt_nats(100.0, latencies.min_suspicious_ms) == 0.0
-    assert short.doubt_nats(700.0, latencies.min_suspicious_ms) > 4.0
+    assert short.suspicion_nats(100.0, latencies.min_suspicious_ms) == 0.0
+    assert short.suspicion_nats(700.0, latencies.min_suspicious_ms) > 4.0
 
 
 def test_gray_probability_grows_with_success_age_and_onset_rate():
--- a/tests/core/test_placing_cost.py
+++ b/tests/core/test_placing_cost.py
@@ -12,12 +12,12 @@
 import pytest
 
 from benchmarks.placing_trial import Gray, PlacingTrial, Site, Work
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 
 LOOKUP = Work("lookup", True, 100.0, 160.0, 0.5, 900.0, 5_500.0, priority=2)
 CONFIRM = Work("confirm", False, 230.0, 210.0, 0.3, 900.0, 6_600.0)
 BUSY = Site(337, 2, (LOOKUP, CONFIRM), entries=96, length_ms=1_500.0)
-REFUSING = Gray(0.3, 60_000.0, 60_000.0, 60_000.0, 0.55, Ending.SHED)
+REFUSING = Gray(0.3, 60_000.0, 60_000.0, 60_000.0, 0.55, AttemptOutcome.SHED)
 
 CALLS_PER_REQUEST = 10_000
 """At a quarter of a microsecond each, these are 2.5 ms: a host of two cores then places
--- a/tests/core/test_placing_limits.py
+++ b/tests/core/test_placing_limits.py
@@ -5,12 +5,17 @@
 
 import pytest
 
-from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
+from crocusspindle.core.placement_request import (
+    PlacementGranted,
+    PlacementRefused,
+    PlacementRequest,
+    QueuedRequest,
+)
 from crocusspindle.core.rate_limit import LimitReport
 from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.ids import DomainId, HostId, ServiceId
 
 SENDER = HostId("n0")
@@ -53,12 +58,12 @@
                 self._end_attempt(*heapq.heappop(self.running))
             if self.rng.random() < self.per_ms:
                 self._send_request(at_ms)
-            self.placer.settle(float(at_ms))
+            self.placer.process_due(float(at_ms))
             self._process_decided(at_ms)
 
     def _send_request(self, at_ms):
         priority = int(self.rng.random() >= self.urgent_fraction)
-        request = Ask(
+        request = PlacementRequest(
             SENDER,
             DomainId("a"),
             "pages",
@@ -68,13 +73,13 @@
             at_ms + DEADLINE_MS,
         )
         self._handle_answer(
-            self.placer.ask(request, float(at_ms)), priority, at_ms, at_ms
+            self.placer.request_placement(request, float(at_ms)), priority, at_ms, at_ms
         )
 
     def _handle_answer(self, answer, priority, sent_ms, at_ms):
-        if isinstance(answer, Waiting):
+        if isinstance(answer, QueuedRequest):
             self.waiting.append((answer, priority, sent_ms))
-        elif isinstance(answer, Refused):
+        elif isinstance(answer, PlacementRefused):
             self.outcomes[priority].append((None, at_ms - sent_ms))
         else:
             self.number += 1
@@ -91,8 +96,10 @@
     def _end_attempt(self, at_ms, _, placed, priority, sent_ms):
         target = placed.target.identity
         limit = self.limits.get(target)
-        self.placer.take_limit(LimitReport(target, limit, at_ms - WORK_MS), at_ms)
-        self.placer.ended(target, placed.grant, Ending.ANSWERED, SENDER, WORK_MS, at_ms)
+        self.placer.update_limit(LimitReport(target, limit, at_ms - WORK_MS), at_ms)
+        self.placer.ended(
+            target, placed.grant, AttemptOutcome.ANSWERED, SENDER, WORK_MS, at_ms
+        )
         self.outcomes[priority].append((target, at_ms - sent_ms))
 
     def on_time_share(self, priority):
@@ -150,8 +157,12 @@
     """Guards against two placers at once that each allow the whole limit."""
     placer = LoadSimulation(1, [], 0.0).placer
     target = TargetIdentity("t0")
-    placer.take_limit(LimitReport(target, 1.0, 0.0), 0.0)
+    placer.update_limit(LimitReport(target, 1.0, 0.0), 0.0)
     for at_ms in (1_000.0, 2_000.0, 3_000.0):
-        placer.count_paced(LimitReport(target, 1.0, 0.0), at_ms)
-        request = Ask(SENDER, DomainId("a"), "pages", True, 0, AIM_MS, at_ms + 2_000.0)
-        assert not isinstance(placer.ask(request, at_ms), Placed)
+        placer.count_limited_attempt(LimitReport(target, 1.0, 0.0), at_ms)
+        request = PlacementRequest(
+            SENDER, DomainId("a"), "pages", True, 0, AIM_MS, at_ms + 2_000.0
+        )
+        assert not isinstance(
+            placer.request_placement(request, at_ms), PlacementGranted
+        )
--- a/tests/core/test_placing_load.py
+++ b/tests/core/test_placing_load.py
@@ -19,11 +19,11 @@
     Work,
 )
 from crocusspindle.core.policies import ALL_POLICIES, Policies
-from crocusspindle.core.target_gauge import Ending, Standing
+from crocusspindle.core.target_tracker import AttemptOutcome, EjectionState
 
 LOOKUP = Work("lookup", True, 22.6, 160.0, 0.5, 600.0, 1_500.0, priority=2)
 CONFIRM = Work("confirm", False, 50.8, 210.0, 0.3, 600.0, 2_000.0)
-HANGS = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, Ending.SILENT)
+HANGS = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, AttemptOutcome.SILENT)
 BOOKINGS = Site(20, 2, (LOOKUP, CONFIRM), HANGS)
 SEEDS = range(4)
 
@@ -98,7 +98,7 @@
 
     With a pause after each refusal, the service would seem full while slots idle.
     """
-    refuses = Gray(1.0, 30_000.0, 8_500.0, 8_500.0, 0.55, Ending.SHED)
+    refuses = Gray(1.0, 30_000.0, 8_500.0, 8_500.0, 0.55, AttemptOutcome.SHED)
     site = replace(BOOKINGS, gray=refuses)
     for tally in run_all_seeds(site).values():
         assert tally.refused < 0.01 * tally.asked
@@ -139,7 +139,9 @@
     By the latencies of a moment ago all of them hang. Ejected together they would leave
     callers without a target, though each of them answers.
     """
-    slow = Gray(1.0, 60_000.0, 20_000.0, 20_000.0, 1.0, Ending.ANSWERED, slow=2.5)
+    slow = Gray(
+        1.0, 60_000.0, 20_000.0, 20_000.0, 1.0, AttemptOutcome.ANSWERED, slow=2.5
+    )
     site = replace(BOOKINGS, gray=slow)
     trial = PlacingTrial(site, 1)
     tallies = trial.run()
@@ -160,12 +162,15 @@
     unreached = [
         change
         for change in trial.placer.changes()
-        if change.standing is Standing.EJECTED and change.ending is Ending.UNREACHED
+        if change.standing is EjectionState.EJECTED
+        and change.ending is AttemptOutcome.UNREACHED
     ]
     assert len(unreached) <= 3
 
 
-@pytest.mark.parametrize("ending", [Ending.BROKEN, Ending.ERROR, Ending.SILENT])
+@pytest.mark.parametrize(
+    "ending", [AttemptOutcome.BROKEN, AttemptOutcome.ERROR, AttemptOutcome.SILENT]
+)
 def test_gray_targets_cost_little_more_than_knowing_them_would(ending):
     """Targets turn gray for some seconds and break, fail or hang most of their work.
 
--- a/tests/core/test_reader_choice.py
+++ b/tests/core/test_reader_choice.py
@@ -2,7 +2,7 @@
 
 import random
 
-from crocusspindle.core.byte_pace import BURST_MS, BytePace
+from crocusspindle.core.byte_rate_limiter import BURST_MS, ByteRateLimiter
 from crocusspindle.core.reader_choice import SUSPECT_MAX_MS, ReaderChoice
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.ids import DomainId, HostId, Incarnation
@@ -91,7 +91,7 @@
 
 def test_lists_are_sent_within_their_fraction_of_the_link():
     """Three hundred hosts request a list of 20 kB from one host at the same time."""
-    limiter = BytePace(bytes_per_ms=312.5)
-    sent_ms = [at for at in range(4_000) if limiter.take(20_000, float(at))]
+    limiter = ByteRateLimiter(bytes_per_ms=312.5)
+    sent_ms = [at for at in range(4_000) if limiter.try_consume(20_000, float(at))]
     assert len(sent_ms) * 20_000 <= 312.5 * (4_000 + BURST_MS) + 20_000
     assert len(sent_ms) >= 50
--- a/tests/core/test_placing_apart.py
+++ b/tests/core/test_request_isolation.py
@@ -2,12 +2,17 @@
 
 import pytest
 
-from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.crash_table import CrashReport, CrashTable
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
+from crocusspindle.core.placement_request import (
+    PlacementGranted,
+    PlacementRefused,
+    PlacementRequest,
+    QueuedRequest,
+)
 from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.ids import ContentDigest, DomainId, HostId, ServiceId
 
 SUSPECT, OTHER = ContentDigest("suspect"), ContentDigest("other")
@@ -47,7 +52,7 @@
         "deadline_ms": 2_000.0,
         "content": content,
     }
-    return Ask(**{**fields, **more})
+    return PlacementRequest(**{**fields, **more})
 
 
 def record_crash_of(table, *targets):
@@ -56,7 +61,7 @@
         table.record_crash(CrashReport(TargetIdentity(target), contents), 0.0)
 
 
-def end_attempt(placer, placed, ending=Ending.ANSWERED, at_ms=100.0):
+def end_attempt(placer, placed, ending=AttemptOutcome.ANSWERED, at_ms=100.0):
     placer.ended(placed.target.identity, placed.grant, ending, SENDER, 50.0, at_ms)
 
 
@@ -64,62 +69,62 @@
     """Guards against other requests that break at the next crash."""
     placer = make_placer(table, 2, slots=4)
     record_crash_of(table, "gone")
-    busy = placer.ask(request(), 0.0)
-    isolated = placer.ask(request(SUSPECT), 0.0)
+    busy = placer.request_placement(request(), 0.0)
+    isolated = placer.request_placement(request(SUSPECT), 0.0)
     assert isolated.target != busy.target
-    more = [placer.ask(request(), 0.0) for _ in range(3)]
+    more = [placer.request_placement(request(), 0.0) for _ in range(3)]
     assert {placed.target for placed in more} == {busy.target}
     end_attempt(placer, isolated)
-    assert placer.ask(request(), 100.0).target == isolated.target
+    assert placer.request_placement(request(), 100.0).target == isolated.target
 
 
 def test_a_suspect_request_runs_once_at_a_time_without_a_hedge(table):
     """Guards against copies of one request that crash several targets at once."""
     placer = make_placer(table, 4)
     record_crash_of(table, "gone")
-    first = placer.ask(request(SUSPECT), 0.0)
-    second = placer.ask(request(SUSPECT), 0.0)
-    assert isinstance(first, Placed) and isinstance(second, Waiting)
-    hedge = placer.ask(request(SUSPECT, repeat=True, hedge=True), 0.0)
-    assert isinstance(hedge, Refused)
+    first = placer.request_placement(request(SUSPECT), 0.0)
+    second = placer.request_placement(request(SUSPECT), 0.0)
+    assert isinstance(first, PlacementGranted) and isinstance(second, QueuedRequest)
+    hedge = placer.request_placement(request(SUSPECT, retry=True, hedge=True), 0.0)
+    assert isinstance(hedge, PlacementRefused)
     end_attempt(placer, first)
-    assert isinstance(second.settled, Placed)
+    assert isinstance(second.settled, PlacementGranted)
 
 
 def test_one_crash_does_not_keep_a_request_from_a_busy_service(table):
     placer = make_placer(table, 1)
     record_crash_of(table, "gone")
-    assert isinstance(placer.ask(request(), 0.0), Placed)
-    assert isinstance(placer.ask(request(SUSPECT), 0.0), Placed)
+    assert isinstance(placer.request_placement(request(), 0.0), PlacementGranted)
+    assert isinstance(placer.request_placement(request(SUSPECT), 0.0), PlacementGranted)
 
 
 def test_a_request_with_two_crashes_never_runs_beside_others(table):
     placer = make_placer(table, 1)
     record_crash_of(table, "gone", "gone-too")
-    beside = placer.ask(request(), 0.0)
-    waiting = placer.ask(request(SUSPECT), 0.0)
-    assert isinstance(waiting, Waiting)
+    beside = placer.request_placement(request(), 0.0)
+    waiting = placer.request_placement(request(SUSPECT), 0.0)
+    assert isinstance(waiting, QueuedRequest)
     end_attempt(placer, beside)
-    assert isinstance(waiting.settled, Placed)
+    assert isinstance(waiting.settled, PlacementGranted)
 
 
 def test_a_queued_request_that_becomes_held_is_refused_at_once(table):
     """Guards against callers that wait to their deadline for a request never sent."""
     placer = make_placer(table, 4)
     record_crash_of(table, "gone")
-    running = placer.ask(request(SUSPECT), 0.0)
-    waiting = placer.ask(request(SUSPECT), 0.0)
-    end_attempt(placer, running, Ending.CRASHED)
+    running = placer.request_placement(request(SUSPECT), 0.0)
+    waiting = placer.request_placement(request(SUSPECT), 0.0)
+    end_attempt(placer, running, AttemptOutcome.CRASHED)
     (report,) = placer.crash_watch.reports()
     assert report.contents == {SUSPECT}
     assert waiting.settled is None
     table.record_crash(report, 100.0)
-    placer.settle(100.0)
+    placer.process_due(100.0)
     assert waiting.settled.reason == "held"
 
 
 def test_a_trial_that_finds_no_free_target_does_not_wait(table):
     placer = make_placer(table, 1)
     record_crash_of(table, "gone", "gone-too", "all-gone")
-    placer.ask(request(), 0.0)
-    assert placer.ask(request(SUSPECT, trial=True), 0.0).reason == "held"
+    placer.request_placement(request(), 0.0)
+    assert placer.request_placement(request(SUSPECT, trial=True), 0.0).reason == "held"
--- a/tests/core/test_retries_across_placers.py
+++ b/tests/core/test_retries_across_placers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crocusspindle.core.asks import Ask
+from crocusspindle.core.placement_request import PlacementRequest
 from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
 from crocusspindle.ids import DomainId, HostId
@@ -49,7 +49,7 @@
             budget.request(now_ms)
             self.requests.append(now_ms)
             for _ in range(3 if refused else 0):
-                if budget.repeat(now_ms):
+                if budget.retry(now_ms):
                     self.retries.append(now_ms)
                 if budget.is_publish_due(now_ms):
                     self.publish(self.first, now_ms)
@@ -94,15 +94,15 @@
 
     Counted by both, each request would add to the allowance for retries twice.
     """
-    placement_request = Ask(
+    placement_request = PlacementRequest(
         HostId("entry"), DomainId("a"), "r", False, 1, 800.0, 2_000.0, counted=True
     )
     budget = RetryBudget(RATIO, 0.0, WINDOW_MS)
     budget.set_known_since(-2 * WINDOW_MS)
     placer = ServicePlacer(0.7, budget)
     for now_ms in range(100):
-        placer.ask(placement_request, float(now_ms))
-    assert not budget.repeat(100.0)
+        placer.request_placement(placement_request, float(now_ms))
+    assert not budget.retry(100.0)
 
 
 def test_a_lost_placer_leaves_few_retries_unpublished():
@@ -128,5 +128,5 @@
     used = 0
     for now_ms in range(0, 9_000, 2):
         budget.request(float(now_ms))
-        used += budget.repeat(float(now_ms))
+        used += budget.retry(float(now_ms))
     assert used <= 0.1 * (RATIO * 4_500 + EXTRA)
--- a/tests/core/test_retries_and_suspicion.py
+++ b/tests/core/test_retries_and_suspicion.py
@@ -23,7 +23,7 @@
     now_ms = from_ms
     while now_ms < to_ms:
         budget.request(now_ms)
-        allowed += budget.repeat(now_ms)
+        allowed += budget.retry(now_ms)
         now_ms += 25.0
     return allowed
 
@@ -83,17 +83,19 @@
     sample = LatencySample(200.0)
     for _ in range(200):
         sample.add(rng.lognormvariate(5.0, 0.8))
-    suspicions = [sample.doubt_nats(rng.lognormvariate(5.0, 0.8)) for _ in range(2_000)]
+    suspicions = [
+        sample.suspicion_nats(rng.lognormvariate(5.0, 0.8)) for _ in range(2_000)
+    ]
     assert sum(suspicions) / len(suspicions) == pytest.approx(1.0, abs=0.15)
-    assert sample.doubt_nats(60_000.0) > 5.0
+    assert sample.suspicion_nats(60_000.0) > 5.0
 
 
 def test_too_few_samples_raise_no_suspicion():
     """A service has just started; its first long request is no sign of a failure."""
     sample = LatencySample(200.0)
     sample.add(10.0)
-    assert sample.doubt_nats(5_000.0) == 0.0
-    assert sample.usual_ms == 200.0
+    assert sample.suspicion_nats(5_000.0) == 0.0
+    assert sample.typical_ms == 200.0
 
 
 def listed(name: str, readiness: Readiness = Readiness.READY) -> ListedTarget:
--- a/tests/core/test_service_placer.py
+++ b/tests/core/test_service_placer.py
@@ -6,15 +6,20 @@
 
 import random
 
-from crocusspindle.core.asks import Ask, Placed, Refused, Waiting
 from crocusspindle.core.listed_target import (
     ListedTarget,
     Readiness,
     TargetIdentity,
 )
+from crocusspindle.core.placement_request import (
+    PlacementGranted,
+    PlacementRefused,
+    PlacementRequest,
+    QueuedRequest,
+)
 from crocusspindle.core.retry_budget import RetryBudget
 from crocusspindle.core.service_placer import ServicePlacer
-from crocusspindle.core.target_gauge import Ending, Standing
+from crocusspindle.core.target_tracker import AttemptOutcome, EjectionState
 from crocusspindle.ids import DomainId, HostId, ServiceId
 
 WORK_MS = 200.0
@@ -40,7 +45,7 @@
     return placer
 
 
-def request(now_ms: float = 0.0, **fields) -> Ask:
+def request(now_ms: float = 0.0, **fields) -> PlacementRequest:
     defaults = {
         "sender": HostId("entry"),
         "domain": DomainId("a"),
@@ -50,11 +55,15 @@
         "aim_ms": 800.0,
         "deadline_ms": now_ms + 2_000.0,
     }
-    return Ask(**{**defaults, **fields})
+    return PlacementRequest(**{**defaults, **fields})
 
 
 def end_attempt(
-    placer: ServicePlacer, placed: Placed, outcome: Ending, now_ms: float, **fields
+    placer: ServicePlacer,
+    placed: PlacementGranted,
+    outcome: AttemptOutcome,
+    now_ms: float,
+    **fields,
 ):
     sender = fields.get("sender", HostId("entry"))
     latency_ms = fields.get("latency_ms", WORK_MS)
@@ -65,10 +74,10 @@
 
 def test_work_fills_free_slots_before_any_target_gets_more():
     books = make_placer()
-    placed = [books.ask(request(), 0.0) for _ in range(16)]
+    placed = [books.request_placement(request(), 0.0) for _ in range(16)]
     counts: dict[str, int] = {}
     for place in placed:
-        assert isinstance(place, Placed)
+        assert isinstance(place, PlacementGranted)
         counts[place.target.identity] = counts.get(place.target.identity, 0) + 1
     assert set(counts.values()) == {2}
 
@@ -79,15 +88,15 @@
     Urgent ones go first, and those that would be late anyway are refused at once.
     """
     books = make_placer(count=1, slots=1)
-    first = books.ask(request(), 0.0)
-    assert isinstance(first, Placed)
-    slow = books.ask(request(priority=3), 0.0)
-    urgent = books.ask(request(priority=0), 0.0)
-    assert isinstance(slow, Waiting) and isinstance(urgent, Waiting)
-    late = books.ask(request(priority=3), 0.0)
-    assert isinstance(late, Refused) and late.reason == "full"
-    end_attempt(books, first, Ending.ANSWERED, WORK_MS)
-    assert isinstance(urgent.settled, Placed) and slow.settled is None
+    first = books.request_placement(request(), 0.0)
+    assert isinstance(first, PlacementGranted)
+    slow = books.request_placement(request(priority=3), 0.0)
+    urgent = books.request_placement(request(priority=0), 0.0)
+    assert isinstance(slow, QueuedRequest) and isinstance(urgent, QueuedRequest)
+    late = books.request_placement(request(priority=3), 0.0)
+    assert isinstance(late, PlacementRefused) and late.reason == "full"
+    end_attempt(books, first, AttemptOutcome.ANSWERED, WORK_MS)
+    assert isinstance(urgent.settled, PlacementGranted) and slow.settled is None
 
 
 def test_one_reset_ejects_a_target_for_everyone():
@@ -96,11 +105,11 @@
     Each request sent there meanwhile is lost.
     """
     books = make_placer()
-    first = books.ask(request(), 0.0)
-    end_attempt(books, first, Ending.BROKEN, 5.0)
+    first = books.request_placement(request(), 0.0)
+    end_attempt(books, first, AttemptOutcome.BROKEN, 5.0)
     (change,) = books.changes()
-    assert change.standing is Standing.EJECTED
-    later = [books.ask(request(100.0), 100.0) for _ in range(14)]
+    assert change.standing is EjectionState.EJECTED
+    later = [books.request_placement(request(100.0), 100.0) for _ in range(14)]
     assert first.target.identity not in {place.target.identity for place in later}
 
 
@@ -108,8 +117,8 @@
     books = make_placer()
     for step in range(400):
         now_ms = step * 50.0
-        place = books.ask(request(now_ms), now_ms)
-        outcome = Ending.ERROR if step % 83 == 0 else Ending.ANSWERED
+        place = books.request_placement(request(now_ms), now_ms)
+        outcome = AttemptOutcome.ERROR if step % 83 == 0 else AttemptOutcome.ANSWERED
         end_attempt(books, place, outcome, now_ms + 40.0)
     assert not books.changes()
 
@@ -120,13 +129,13 @@
     A payment that meets it gray is lost; a page view is retried elsewhere.
     """
     books = make_placer()
-    broken = books.ask(request(), 0.0)
-    end_attempt(books, broken, Ending.BROKEN, 5.0)
+    broken = books.request_placement(request(), 0.0)
+    end_attempt(books, broken, AttemptOutcome.BROKEN, 5.0)
     out = broken.target.identity
     for _ in range(12):
-        payment = books.ask(request(2_600.0), 2_600.0)
+        payment = books.request_placement(request(2_600.0), 2_600.0)
         assert payment.target.identity != out
-    page = books.ask(request(2_600.0, idempotent=True), 2_600.0)
+    page = books.request_placement(request(2_600.0, idempotent=True), 2_600.0)
     assert page.target.identity == out
 
 
@@ -136,21 +145,30 @@
     With one request at a time each, callers would have no free slots for seconds.
     """
     books = make_placer(count=1, slots=4)
-    broken = books.ask(request(), 0.0)
-    end_attempt(books, broken, Ending.BROKEN, 5.0)
-    first = books.ask(request(2_600.0, idempotent=True), 2_600.0)
-    assert isinstance(first, Placed)
-    assert isinstance(books.ask(request(2_600.0), 2_600.0), Refused)
-    end_attempt(books, first, Ending.ANSWERED, 2_800.0)
-    more = [books.ask(request(2_800.0, idempotent=True), 2_800.0) for _ in range(3)]
-    assert [isinstance(place, Placed) for place in more] == [True, True, False]
+    broken = books.request_placement(request(), 0.0)
+    end_attempt(books, broken, AttemptOutcome.BROKEN, 5.0)
+    first = books.request_placement(request(2_600.0, idempotent=True), 2_600.0)
+    assert isinstance(first, PlacementGranted)
+    assert isinstance(
+        books.request_placement(request(2_600.0), 2_600.0), PlacementRefused
+    )
+    end_attempt(books, first, AttemptOutcome.ANSWERED, 2_800.0)
+    more = [
+        books.request_placement(request(2_800.0, idempotent=True), 2_800.0)
+        for _ in range(3)
+    ]
+    assert [isinstance(place, PlacementGranted) for place in more] == [
+        True,
+        True,
+        False,
+    ]
 
 
 def test_a_relapse_is_ejected_for_longer():
     books = make_placer(count=1)
     for out_ms, now_ms in ((2_500.0, 0.0), (5_000.0, 2_600.0), (10_000.0, 7_700.0)):
-        place = books.ask(request(now_ms, idempotent=True), now_ms)
-        end_attempt(books, place, Ending.BROKEN, now_ms)
+        place = books.request_placement(request(now_ms, idempotent=True), now_ms)
+        end_attempt(books, place, AttemptOutcome.BROKEN, now_ms)
         tracker = books.trackers()[place.target.identity]
         assert tracker.ejected_until_ms == now_ms + out_ms
 
@@ -161,45 +179,47 @@
     To eject it for all entries would take a healthy target out of use.
     """
     books = make_placer()
-    place = books.ask(request(), 0.0)
-    end_attempt(books, place, Ending.UNREACHED, 300.0)
+    place = books.request_placement(request(), 0.0)
+    end_attempt(books, place, AttemptOutcome.UNREACHED, 300.0)
     assert not books.changes()
-    own = [books.ask(request(400.0), 400.0) for _ in range(14)]
+    own = [books.request_placement(request(400.0), 400.0) for _ in range(14)]
     assert place.target.identity not in {p.target.identity for p in own}
-    other = books.ask(request(400.0, sender=HostId("other")), 400.0)
+    other = books.request_placement(request(400.0, sender=HostId("other")), 400.0)
     assert other.target.identity == place.target.identity
 
 
 def test_two_senders_that_reach_nothing_are_attributed_to_the_target():
     books = make_placer()
-    place = books.ask(request(), 0.0)
-    end_attempt(books, place, Ending.UNREACHED, 300.0)
+    place = books.request_placement(request(), 0.0)
+    end_attempt(books, place, AttemptOutcome.UNREACHED, 300.0)
     again = place
     while again.target.identity != place.target.identity or again is place:
-        again = books.ask(request(400.0, sender=HostId("other")), 400.0)
-    end_attempt(books, again, Ending.UNREACHED, 700.0, sender=HostId("other"))
-    assert [change.standing for change in books.changes()] == [Standing.EJECTED]
+        again = books.request_placement(request(400.0, sender=HostId("other")), 400.0)
+    end_attempt(books, again, AttemptOutcome.UNREACHED, 700.0, sender=HostId("other"))
+    assert [change.standing for change in books.changes()] == [EjectionState.EJECTED]
 
 
 def placer_with_samples(count: int = 8) -> ServicePlacer:
     books = make_placer(count)
     draw = random.Random(3)
     for step in range(200):
-        place = books.ask(request(), 0.0)
+        place = books.request_placement(request(), 0.0)
         latency_ms = draw.lognormvariate(5.2, 0.4)
-        end_attempt(books, place, Ending.ANSWERED, step * 1.0, latency_ms=latency_ms)
+        end_attempt(
+            books, place, AttemptOutcome.ANSWERED, step * 1.0, latency_ms=latency_ms
+        )
     return books
 
 
 def test_a_target_with_overdue_work_gets_no_more_while_others_can_take_it():
     """A target accepts requests and never answers them."""
     books = placer_with_samples()
-    late = books.ask(request(1_000.0), 1_000.0)
+    late = books.request_placement(request(1_000.0), 1_000.0)
     for step in range(60):
         now_ms = 1_700.0 + step * 10
-        place = books.ask(request(now_ms), now_ms)
+        place = books.request_placement(request(now_ms), now_ms)
         assert place.target.identity != late.target.identity
-        end_attempt(books, place, Ending.ANSWERED, now_ms + 5.0)
+        end_attempt(books, place, AttemptOutcome.ANSWERED, now_ms + 5.0)
 
 
 def test_a_hung_target_is_ejected_before_its_callers_deadlines():
@@ -210,11 +230,11 @@
     """
     books = placer_with_samples(count=1)
     for _ in range(2):
-        books.ask(request(1_000.0), 1_000.0)
-    books.settle(1_300.0)
+        books.request_placement(request(1_000.0), 1_000.0)
+    books.process_due(1_300.0)
     assert not books.changes()
-    books.settle(1_900.0)
-    assert [change.standing for change in books.changes()] == [Standing.EJECTED]
+    books.process_due(1_900.0)
+    assert [change.standing for change in books.changes()] == [EjectionState.EJECTED]
 
 
 def test_many_gray_windows_in_a_row_keep_the_floor():
@@ -224,16 +244,16 @@
     """
     books = make_placer(count=10)
     for n in range(5):
-        place = books.ask(request(), 0.0)
-        end_attempt(books, place, Ending.BROKEN, n * 10.0)
-    books.settle(2_200.0)
+        place = books.request_placement(request(), 0.0)
+        end_attempt(books, place, AttemptOutcome.BROKEN, n * 10.0)
+    books.process_due(2_200.0)
     states = [tracker.ejection_state for tracker in books.trackers().values()]
-    assert states.count(Standing.EJECTED) == 5
+    assert states.count(EjectionState.EJECTED) == 5
     for _ in range(8):
-        books.ask(request(2_200.0), 2_200.0)
-    books.settle(2_200.0)
+        books.request_placement(request(2_200.0), 2_200.0)
+    books.process_due(2_200.0)
     states = [tracker.ejection_state for tracker in books.trackers().values()]
-    assert states.count(Standing.EJECTED) == 3
+    assert states.count(EjectionState.EJECTED) == 3
 
 
 def test_retries_stop_at_the_budget():
@@ -242,21 +262,23 @@
     refused = 0
     for step in range(1_000):
         now_ms = step * 9.0
-        place = books.ask(request(now_ms), now_ms)
-        if isinstance(place, Placed):
-            end_attempt(books, place, Ending.ABANDONED, now_ms)
-        again = books.ask(request(now_ms, repeat=True), now_ms)
-        if isinstance(again, Placed):
-            end_attempt(books, again, Ending.ABANDONED, now_ms)
-        refused += isinstance(again, Refused)
+        place = books.request_placement(request(now_ms), now_ms)
+        if isinstance(place, PlacementGranted):
+            end_attempt(books, place, AttemptOutcome.ABANDONED, now_ms)
+        again = books.request_placement(request(now_ms, retry=True), now_ms)
+        if isinstance(again, PlacementGranted):
+            end_attempt(books, again, AttemptOutcome.ABANDONED, now_ms)
+        refused += isinstance(again, PlacementRefused)
     assert 1_000 - refused <= 0.2 * 1_000 + 58
 
 
 def test_the_slot_of_a_killed_sender_is_freed_at_the_deadline():
     """An entry is killed with requests running, and never reports their outcomes."""
     books = make_placer(count=1, slots=1)
-    books.ask(request(), 0.0)
-    assert isinstance(books.ask(request(2_001.0), 2_001.0), Placed)
+    books.request_placement(request(), 0.0)
+    assert isinstance(
+        books.request_placement(request(2_001.0), 2_001.0), PlacementGranted
+    )
 
 
 def test_gray_windows_cost_few_requests():
@@ -273,11 +295,13 @@
         phase = {f"t{n}": draw.uniform(0, 9_000) for n in range(5)}
         for step in range(3_000):
             now_ms = step * 33.0
-            place = books.ask(request(now_ms), now_ms)
+            place = books.request_placement(request(now_ms), now_ms)
             name = place.target.identity
             gray = name in phase and (now_ms + phase[name]) % 9_000 < 2_000
             lost[pooled] += gray
-            outcome = Ending.BROKEN if gray and pooled else Ending.ANSWERED
+            outcome = (
+                AttemptOutcome.BROKEN if gray and pooled else AttemptOutcome.ANSWERED
+            )
             end_attempt(books, place, outcome, now_ms + 1.0)
     assert lost[False] > 150
     assert lost[True] * 3 < lost[False]
@@ -290,13 +314,15 @@
     confirmation would be sent to the same target and lost.
     """
     books = placer_with_samples(count=2)
-    hung = books.ask(request(1_000.0, idempotent=True), 1_000.0)
-    end_attempt(books, hung, Ending.ABANDONED, 1_700.0, latency_ms=700.0)
+    hung = books.request_placement(request(1_000.0, idempotent=True), 1_000.0)
+    end_attempt(books, hung, AttemptOutcome.ABANDONED, 1_700.0, latency_ms=700.0)
     for step in range(4):
         now_ms = 1_800.0 + step * 10
-        place = books.ask(request(now_ms), now_ms)
+        place = books.request_placement(request(now_ms), now_ms)
         assert place.target.identity != hung.target.identity
-        end_attempt(books, place, Ending.ANSWERED, now_ms + 5.0, latency_ms=150.0)
+        end_attempt(
+            books, place, AttemptOutcome.ANSWERED, now_ms + 5.0, latency_ms=150.0
+        )
 
 
 def test_a_caller_that_leaves_early_does_not_count_against_its_target():
@@ -307,8 +333,10 @@
     books = placer_with_samples()
     for step in range(50):
         now_ms = 1_000.0 + step * 100
-        place = books.ask(request(now_ms), now_ms)
-        end_attempt(books, place, Ending.ABANDONED, now_ms + 90.0, latency_ms=90.0)
+        place = books.request_placement(request(now_ms), now_ms)
+        end_attempt(
+            books, place, AttemptOutcome.ABANDONED, now_ms + 90.0, latency_ms=90.0
+        )
     assert not books.changes()
 
 
@@ -319,13 +347,13 @@
     the healthy targets while requests fail.
     """
     books = make_placer()
-    broken = books.ask(request(), 0.0)
-    end_attempt(books, broken, Ending.BROKEN, 0.0)
+    broken = books.request_placement(request(), 0.0)
+    end_attempt(books, broken, AttemptOutcome.BROKEN, 0.0)
     tracker = books.trackers()[broken.target.identity]
     tracker.ejected_until_ms = 10_000.0
-    payment = [books.ask(request(2_100.0), 2_100.0) for _ in range(14)]
+    payment = [books.request_placement(request(2_100.0), 2_100.0) for _ in range(14)]
     assert broken.target.identity not in {p.target.identity for p in payment}
-    page = books.ask(request(2_100.0, idempotent=True), 2_100.0)
+    page = books.request_placement(request(2_100.0, idempotent=True), 2_100.0)
     assert page.target.identity == broken.target.identity
 
 
@@ -337,14 +365,16 @@
     """
     books = placer_with_samples(count=8)
     for step in range(6):
-        place = books.ask(request(1_000.0), 1_000.0)
-        end_attempt(books, place, Ending.ERROR, 1_001.0 + step)
+        place = books.request_placement(request(1_000.0), 1_000.0)
+        end_attempt(books, place, AttemptOutcome.ERROR, 1_001.0 + step)
     used = set()
     for step in range(20):
         now_ms = 2_500.0 + step * 20
-        place = books.ask(request(now_ms, idempotent=True), now_ms)
+        place = books.request_placement(request(now_ms, idempotent=True), now_ms)
         used.add(place.target.identity)
-        end_attempt(books, place, Ending.ANSWERED, now_ms + 10.0, latency_ms=150.0)
+        end_attempt(
+            books, place, AttemptOutcome.ANSWERED, now_ms + 10.0, latency_ms=150.0
+        )
     assert len(used) >= 6
 
 
@@ -356,11 +386,11 @@
     """
     books = make_placer(count=10)
     for step in range(100):
-        place = books.ask(request(step * 10.0), step * 10.0)
-        if isinstance(place, Placed):
-            end_attempt(books, place, Ending.ERROR, step * 10.0 + 5.0)
+        place = books.request_placement(request(step * 10.0), step * 10.0)
+        if isinstance(place, PlacementGranted):
+            end_attempt(books, place, AttemptOutcome.ERROR, step * 10.0 + 5.0)
     states = [tracker.ejection_state for tracker in books.trackers().values()]
-    assert states.count(Standing.EJECTED) <= 3
+    assert states.count(EjectionState.EJECTED) <= 3
 
 
 def test_a_hedge_without_a_free_slot_costs_no_retry():
@@ -371,14 +401,18 @@
     """
     books = ServicePlacer(0.7, RetryBudget(0.0, 10.0, 10_000.0))
     books.set_targets(listed_targets(2), 0.0)
-    books.ask(request(idempotent=True), 0.0)
-    fields = {"idempotent": True, "repeat": True, "hedge": True}
+    books.request_placement(request(idempotent=True), 0.0)
+    fields = {"idempotent": True, "retry": True, "hedge": True}
     everyone = frozenset(books.trackers())
     for step in range(50):
         now_ms = 300.0 + step
-        again = books.ask(request(now_ms, excluded=everyone, **fields), now_ms)
-        assert isinstance(again, Refused) and again.reason == "full"
-    assert isinstance(books.ask(request(400.0, **fields), 400.0), Placed)
+        again = books.request_placement(
+            request(now_ms, excluded=everyone, **fields), now_ms
+        )
+        assert isinstance(again, PlacementRefused) and again.reason == "full"
+    assert isinstance(
+        books.request_placement(request(400.0, **fields), 400.0), PlacementGranted
+    )
 
 
 def test_work_that_ran_at_an_ejection_is_no_relapse():
@@ -388,9 +422,9 @@
     gray for two.
     """
     books = make_placer(count=1, slots=6)
-    running = [books.ask(request(), 0.0) for _ in range(6)]
+    running = [books.request_placement(request(), 0.0) for _ in range(6)]
     for place in running:
-        end_attempt(books, place, Ending.BROKEN, 10.0)
+        end_attempt(books, place, AttemptOutcome.BROKEN, 10.0)
     tracker = books.trackers()[running[0].target.identity]
     assert tracker.ejection_ms == tracker.ejected_until_ms - 10.0 == 2_500.0
 
@@ -402,11 +436,11 @@
     seconds later.
     """
     books = make_placer(count=1, slots=1)
-    first = books.ask(request(idempotent=True), 0.0)
-    again = request(idempotent=True, repeat=True, excluded=frozenset(books.trackers()))
-    refused = books.ask(again, 10.0)
-    assert isinstance(first, Placed)
-    assert isinstance(refused, Refused) and refused.reason == "no-target"
+    first = books.request_placement(request(idempotent=True), 0.0)
+    again = request(idempotent=True, retry=True, excluded=frozenset(books.trackers()))
+    refused = books.request_placement(again, 10.0)
+    assert isinstance(first, PlacementGranted)
+    assert isinstance(refused, PlacementRefused) and refused.reason == "no-target"
 
 
 def test_serving_the_queue_is_cheap_while_no_slot_is_free():
@@ -416,7 +450,9 @@
     request would take the placer's processor when it is needed most.
     """
     books = placer_with_samples(count=20)
-    while isinstance(books.ask(request(1_000.0), 1_000.0), Placed):
+    while isinstance(
+        books.request_placement(request(1_000.0), 1_000.0), PlacementGranted
+    ):
         pass
     checks = 0
 
@@ -428,7 +464,7 @@
     for tracker in books.trackers().values():
         tracker.full_until_ms = 5_000.0
     for _ in range(100):
-        books.ask(request(1_000.0, deadline_ms=60_000.0), 1_000.0)
+        books.request_placement(request(1_000.0, deadline_ms=60_000.0), 1_000.0)
     books._reachable = counted
-    books.settle(1_010.0)
+    books.process_due(1_010.0)
     assert checks == 0
--- a/tests/gateway/test_crashes_known.py
+++ b/tests/gateway/test_crashes_known.py
@@ -7,7 +7,7 @@
 
 from crocusspindle.core.crash_watch import CrashWatch
 from crocusspindle.core.listed_target import TargetIdentity
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.ids import ContentDigest, ServiceId
 from crocusspindle_standins.virtual.fleet import HostSize, VirtualFleet
 from crocusspindle_standins.virtual.loop import VirtualLoop, VirtualTime, run
@@ -42,7 +42,7 @@
     """Have a host's placer see two targets crash under a request alone."""
     watch = CrashWatch(node.knowledge.crashes)
     for target in ("t0", "t1"):
-        watch.ended(TargetIdentity(target), CONTENT, [], Ending.CRASHED, 0.0)
+        watch.ended(TargetIdentity(target), CONTENT, [], AttemptOutcome.CRASHED, 0.0)
     node.crashes.take(ServiceId("service-0"), node.ranks, watch)
 
 
--- a/tests/gateway/test_just_started.py
+++ b/tests/gateway/test_just_started.py
@@ -6,9 +6,9 @@
 import random
 
 from crocusspindle.clock import now_ms
-from crocusspindle.core.asks import Ask, Refused
 from crocusspindle.core.configuration import CustomerRule
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
+from crocusspindle.core.placement_request import PlacementRefused, PlacementRequest
 from crocusspindle.core.policies import ALL_POLICIES
 from crocusspindle.core.quota_keeper import Admitted, NotKept
 from crocusspindle.core.view import View
@@ -59,7 +59,7 @@
 
 
 def an_ask():
-    return Ask(
+    return PlacementRequest(
         sender=seat(0).node.host,
         domain=DomainId("a"),
         route="pages",
@@ -157,4 +157,4 @@
     place = await asyncio.wait_for(
         placing_alone(knowledge).place(SERVICE, an_ask()), 0.1
     )
-    assert isinstance(place, Refused) and place.reason == "no-target"
+    assert isinstance(place, PlacementRefused) and place.reason == "no-target"
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -6,7 +6,7 @@
 import pytest
 
 from crocusspindle.clock import now_ms
-from crocusspindle.core.byte_pace import BytePace
+from crocusspindle.core.byte_rate_limiter import ByteRateLimiter
 from crocusspindle.core.reader_choice import READER_ROLE, ReaderChoice
 from crocusspindle.core.rendezvous import order
 from crocusspindle.core.view import View
@@ -27,7 +27,7 @@
 
 
 def membership_of(node, exchange, knowledge, reading) -> Membership:
-    choice, pace = ReaderChoice(node.host, random.Random(1)), BytePace(1e6)
+    choice, pace = ReaderChoice(node.host, random.Random(1)), ByteRateLimiter(1e6)
     draw = random.Random(1)
     return Membership(node, exchange, knowledge, reading, set, choice, pace, draw)
 
--- a/tests/gateway/test_sender.py
+++ b/tests/gateway/test_sender.py
@@ -5,7 +5,7 @@
 
 from crocusspindle.clock import now_ms
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
-from crocusspindle.core.target_gauge import Ending
+from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.gateway.sender import Outgoing, Sender
 from crocusspindle.ids import DomainId, ServiceId
 from crocusspindle.platform.dialect import dialect
@@ -31,9 +31,9 @@
 @pytest.mark.parametrize(
     ("path", "trouble", "ending"),
     [
-        ("/pages/oak", Trouble.NONE, Ending.ANSWERED),
-        ("/pages/oak", Trouble.RESETS, Ending.BROKEN),
-        ("/pages/crashes", Trouble.NONE, Ending.CRASHED),
+        ("/pages/oak", Trouble.NONE, AttemptOutcome.ANSWERED),
+        ("/pages/oak", Trouble.RESETS, AttemptOutcome.BROKEN),
+        ("/pages/crashes", Trouble.NONE, AttemptOutcome.CRASHED),
     ],
 )
 async def test_a_process_that_ended_is_told_from_one_that_breaks_connections(
