--- a/src/crocusspindle/platform/adapter.py
+++ b/src/crocusspindle/platform/adapter.py
@@ -1,4 +1,4 @@
-"""Define the narrow interface through which the fleet meets its platform.
+"""Define the interface between the fleet and its platform.
 
 A new platform needs one module: a class with these methods, registered with
 ``@register("name")`` and named in the settings under ``platform.adapter``.
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PutResult:
-    """Tell whether a conditional put took effect, and what the row holds now."""
+    """Report whether a conditional put took effect, and the row's current content."""
 
     applied: bool
     current: Row | None
 
 
 class Platform(Protocol):
-    """Reach the transactional table service, the object store and the host list.
+    """Access the transactional table service, the object store and the host list.
 
     Every call ends by its ``deadline_ms`` on the monotonic clock. Calls raise
     ``PlatformUnavailableError`` when they certainly had no effect and
@@ -66,14 +66,14 @@
         """Return a stored object, or None when there is none."""
 
     async def put_object(self, name: str, content: bytes, deadline_ms: float) -> None:
-        """Store an object whole, in place of an older one."""
+        """Store an object atomically, replacing an older one."""
 
     async def hosts(self, deadline_ms: float) -> Sequence[Target]:
         """Return the lagging list of live and leaving target hosts."""
 
 
 class PlatformAdapter(Platform, Protocol):
-    """Meet one kind of platform; this is what a new platform's module brings."""
+    """Implement one kind of platform; a new platform's module defines one."""
 
     @classmethod
     def from_config(cls, options: Mapping[str, Any]) -> Self:
--- a/src/crocusspindle/platform/dialect.py
+++ b/src/crocusspindle/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Name the headers, paths and answers that callers, targets and checks use."""
+"""Define the platform's headers, paths and responses."""
 
 import json
 import math
@@ -14,7 +14,7 @@
 
 
 def dialect() -> Dialect:
-    """Return the platform's words for what the product says."""
+    """Return the platform's names for the product's headers, paths and responses."""
     return Dialect(
         request_id="X-Request-Id",
         time_left_ms="X-Deadline-Milliseconds",
@@ -41,7 +41,7 @@
         limit_per_s = math.nan
     if math.isfinite(limit_per_s) and limit_per_s >= 0.0:
         return limit_per_s
-    message = f"{text!r} is no rate of requests a second"
+    message = f"{text!r} is not a rate in requests per second"
     raise InvalidInputError([Finding("answer", LIMIT_HEADER, message)])
 
 
--- a/src/crocusspindle/platform/documents.py
+++ b/src/crocusspindle/platform/documents.py
@@ -1,4 +1,4 @@
-"""Translate the platform's documents into the product's own data."""
+"""Translate the platform's documents into the product's data model."""
 
 import json
 from collections.abc import Mapping
@@ -43,12 +43,12 @@
     for name, entry in document.get("tenants", {}).items():
         try:
             rule = _customer(name, entry)
-            digests = [key_digest(str(key)) for key in entry.get("api_keys", ())]
+            key_digests = [key_digest(str(key)) for key in entry.get("api_keys", ())]
         except (KeyError, TypeError, ValueError) as error:
             findings.append(Finding(SOURCE, f"tenants.{name}", repr(error)))
             continue
         customers[rule.customer] = rule
-        keys.update(dict.fromkeys(digests, rule.customer))
+        keys.update(dict.fromkeys(key_digests, rule.customer))
     if findings:
         raise InvalidInputError(findings)
     limits = _limits(document.get("limits", {}))
@@ -57,8 +57,8 @@
 
 def _route(name: str, entry: Mapping[str, Any]) -> RouteRule:
     weighted_services = tuple(
-        WeightedService(ServiceId(str(part["service"])), float(part["weight"]))
-        for part in entry.get("split", ())
+        WeightedService(ServiceId(str(item["service"])), float(item["weight"]))
+        for item in entry.get("split", ())
     ) or (WeightedService(ServiceId(str(entry["service"])), 1.0),)
     return RouteRule(
         name=name,
@@ -85,34 +85,40 @@
 
 
 def _limits(entry: Mapping[str, Any]) -> CallerLimits:
-    usual = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        header_bytes=int(entry.get("header_bytes", usual.header_bytes)),
-        body_bytes=int(entry.get("body_bytes", usual.body_bytes)),
+        header_bytes=int(entry.get("header_bytes", defaults.header_bytes)),
+        body_bytes=int(entry.get("body_bytes", defaults.body_bytes)),
         header_timeout_ms=float(
-            entry.get("header_timeout_s", usual.header_timeout_ms / 1e3)
+            entry.get("header_timeout_s", defaults.header_timeout_ms / 1e3)
         )
         * 1e3,
-        idle_timeout_ms=float(entry.get("idle_timeout_s", usual.idle_timeout_ms / 1e3))
+        idle_timeout_ms=float(
+            entry.get("idle_timeout_s", defaults.idle_timeout_ms / 1e3)
+        )
         * 1e3,
     )
 
 
 def parse_target(key: str, value: bytes) -> ListedTarget | None:
-    """Parse an entry of the list of targets; None if it names none to use.
+    """Parse an entry of the list of targets; return None if it is not a usable target.
 
-    Entries come from other writers too: fields may be missing or of another type.
-    A half-understood entry would send requests to an address that serves others.
+    Other programs write entries too: fields may be missing or of another type. A
+    partly parsed entry would send requests to an address that belongs to others.
     """
     try:
         entry = json.loads(value)
-        about, status = entry["information"], entry["status"]
-        address, service, zone = entry["address"], about["service"], about["zone"]
-        slots, state = about["slots"], status["state"]
+        information, status = entry["information"], entry["status"]
+        address, service, zone = (
+            entry["address"],
+            information["service"],
+            information["zone"],
+        )
+        slots, state = information["slots"], status["state"]
     except (ValueError, KeyError, TypeError):
         return None
-    texts = (address, service, zone, state)
-    if not all(isinstance(text, str) and text for text in texts):
+    strings = (address, service, zone, state)
+    if not all(isinstance(text, str) and text for text in strings):
         return None
     if isinstance(slots, bool) or not isinstance(slots, int) or slots < 1:
         return None
--- a/src/crocusspindle/platform/fleet_platform.py
+++ b/src/crocusspindle/platform/fleet_platform.py
@@ -1,6 +1,6 @@
-"""Define what `serve` needs of a platform: rows with a feed, and its own formats.
+"""Define the platform interface of `serve`: rows with a change feed, and their formats.
 
-A new platform needs a module with these classes, registered under the name that its
+A new platform needs a module with these classes, registered under the name that the
 settings give as ``form``.
 """
 
@@ -15,11 +15,11 @@
 
 
 class HistoryLostError(PlatformUnavailableError):
-    """Report that a feed cannot go on from where it was; read the whole again."""
+    """Report that a feed can't resume from its version; read the whole table again."""
 
 
 class Table(Enum):
-    """Name the tables that a fleet reads."""
+    """Tables that a fleet reads."""
 
     CONFIGURATION = "configuration"
     TARGETS = "targets"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRow:
-    """Hold one row as a feed or read shows it; ``value`` is None once removed."""
+    """Hold one row as returned by a feed or read; ``value`` is None once deleted."""
 
     key: str
     version: int
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Hold rows as of ``version``, the store's newest when it answered."""
+    """Hold rows as of ``version``, the store's newest version when it responded."""
 
     rows: Sequence[StoredRow]
     version: int
 
 
 class FleetPlatform(Protocol):
-    """Read and follow tables, write rows under conditions, and parse their values.
+    """Read and follow tables, write rows conditionally, and parse row values.
 
     Calls raise ``PlatformUnavailableError`` when they certainly had no effect and
     ``PlatformUnknownError`` when a write may have taken effect.
@@ -52,29 +52,29 @@
 
     @classmethod
     def from_config(cls, options: Mapping[str, Any]) -> Self:
-        """Build the adapter from the platform's part of the settings."""
+        """Build the adapter from the platform section of the settings."""
 
     async def read(self, table: Table) -> Changes:
         """Return all rows of a table."""
 
     async def follow(self, table: Table, after: int, wait_ms: float) -> Changes:
-        """Return what changed after a version, at once or when something does."""
+        """Return the changes after a version; wait at most ``wait_ms`` for one."""
 
     async def put(self, key: str, value: bytes, expected: int | None) -> int | None:
         """Write a row of the fleet's table; return its version, None on conflict.
 
-        ``expected`` is the version that the row must have, 0 for none; without it
-        the row is written whatever it holds.
+        ``expected`` is the version that the row must have, 0 if it must not exist;
+        None writes the row unconditionally.
         """
 
     def configuration(self, rows: Sequence[StoredRow]) -> bytes | None:
-        """Return the row value that holds the configuration, if it is there."""
+        """Return the newest configuration among the rows, or None if absent."""
 
     def parse_configuration(self, value: bytes) -> Configuration:
         """Parse a configuration; raise ``InvalidInputError`` with all findings."""
 
     def parse_target(self, key: str, value: bytes) -> ListedTarget | None:
-        """Parse an entry of the list of targets; None if it names none to use."""
+        """Parse an entry of the list of targets; None if it is not a usable target."""
 
     async def close(self) -> None:
         """Release the connections."""
@@ -85,7 +85,7 @@
 
 
 def register_form(name: str) -> Callable[[Form], Form]:
-    """Register a platform under the name that its settings use."""
+    """Register a platform under the name that settings give as ``form``."""
 
     def add(form: Form) -> Form:
         _FORMS[name] = form
--- a/src/crocusspindle/platform/http.py
+++ b/src/crocusspindle/platform/http.py
@@ -1,4 +1,4 @@
-"""Reach a platform over HTTP, as the stand-in of this project serves it."""
+"""Access a platform over HTTP, with the API of this project's stand-in."""
 
 import asyncio
 from collections.abc import Mapping, Sequence
@@ -30,7 +30,7 @@
 
 @register("http")
 class HttpPlatform:
-    """Speak to the platform's table service, object store and host list."""
+    """HTTP client of the platform's table service, object store and host list."""
 
     def __init__(self, url: str) -> None:
         self._url = url.rstrip("/")
@@ -52,8 +52,8 @@
 
     def _client(self) -> aiohttp.ClientSession:
         if self._session is None:
-            # Connections of a platform that went away fall silent; a short
-            # keep-alive bounds how long a dead one is offered for reuse.
+            # Connections to an unreachable platform break silently; a short
+            # keep-alive bounds how long a broken one may be reused.
             connector = aiohttp.TCPConnector(limit=16, keepalive_timeout=5)
             self._session = aiohttp.ClientSession(
                 connector=connector, auto_decompress=False
@@ -63,12 +63,14 @@
     async def _call(
         self, method: str, path: str, deadline_ms: float, **options: Any
     ) -> tuple[int, bytes]:
-        # A read that fails had no effect. A write whose answer is lost may have
-        # taken effect: only a refused connection proves that it did not.
+        # A failed read had no effect. A write whose response is lost may have taken
+        # effect; only a failed connection shows that it did not.
         left_s = remaining_s(deadline_ms)
         if left_s <= 0:
             raise PlatformUnavailableError(f"no time left for {method} {path}")
-        unsure = PlatformUnknownError if method != "GET" else PlatformUnavailableError
+        error_type = (
+            PlatformUnknownError if method != "GET" else PlatformUnavailableError
+        )
         try:
             async with asyncio.timeout(left_s):
                 async with self._client().request(
@@ -78,7 +80,7 @@
         except aiohttp.ClientConnectorError as error:
             raise PlatformUnavailableError(f"{method} {path}: {error}") from error
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            raise unsure(f"{method} {path}: {error!r}") from error
+            raise error_type(f"{method} {path}: {error!r}") from error
 
     async def _read(
         self, path: str, deadline_ms: float, **options: Any
@@ -146,7 +148,7 @@
         return None if status == HTTP_NOT_FOUND else content
 
     async def put_object(self, name: str, content: bytes, deadline_ms: float) -> None:
-        """Store an object whole, in place of an older one."""
+        """Store an object atomically, replacing an older one."""
         path = f"/v1/objects/{quote(name, safe='')}"
         status, _ = await self._call("PUT", path, deadline_ms, data=content)
         if status != HTTP_OK:
--- a/src/crocusspindle/platform/settings_file.py
+++ b/src/crocusspindle/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""Translate the platform's settings file into the product's own settings."""
+"""Translate the platform's settings file into the product's settings."""
 
 import os
 import tomllib
@@ -12,11 +12,11 @@
 
 PATH_ENV: Final = "CROCUSSPINDLE_SETTINGS"
 METRICS_PORT: Final = 9464
-"""The port of the deploy file's ``metrics``, the usual one of the exporter."""
+"""The port ``metrics`` of the deploy file, the exporter's default."""
 
 
 def path_of(given: str | None) -> Path:
-    """Return the path of the settings; raise ``SettingsError`` if none is given."""
+    """Return the settings path; raise ``SettingsError`` if none is given."""
     path = given or os.environ.get(PATH_ENV)
     if not path:
         message = f"name a file or set {PATH_ENV}"
@@ -38,17 +38,17 @@
     findings: list[Finding] = []
 
     def text(*names: str) -> str:
-        found: Any = document
+        value: Any = document
         for name in names:
-            found = found.get(name) if isinstance(found, Mapping) else None
-        if not isinstance(found, str) or not found:
-            findings.append(Finding(source, ".".join(names), "must be a text"))
+            value = value.get(name) if isinstance(value, Mapping) else None
+        if not isinstance(value, str) or not value:
+            findings.append(Finding(source, ".".join(names), "must be a string"))
             return ""
-        return found
+        return value
 
     ports = document.get("internal_ports")
     if not isinstance(ports, list) or not ports or not isinstance(ports[0], int):
-        findings.append(Finding(source, "internal_ports", "must hold a port"))
+        findings.append(Finding(source, "internal_ports", "must contain a port"))
         ports = [0]
     text("platform", "address")
     limits = document.get("limits", {})
@@ -76,37 +76,37 @@
 def _positive(
     limits: Any, name: str, default: float, source: str, findings: list[Finding]
 ) -> float:
-    """Return a limit of the host; the default where the file does not name it."""
-    found = limits.get(name, default) if isinstance(limits, Mapping) else None
-    if isinstance(found, int | float) and not isinstance(found, bool) and found > 0:
-        return float(found)
+    """Return a limit of the host, or the default if the file does not set it."""
+    value = limits.get(name, default) if isinstance(limits, Mapping) else None
+    if isinstance(value, int | float) and not isinstance(value, bool) and value > 0:
+        return float(value)
     findings.append(Finding(source, f"limits.{name}", "must be a number above 0"))
     return default
 
 
 def _bounds(entries: Mapping[str, Any], source: str, findings: list[Finding]) -> Bounds:
-    usual = Bounds()
+    defaults = Bounds()
 
     def number(name: str, default: float, scale: float = 1.0) -> float:
-        found = entries.get(name)
-        if found is None:
+        value = entries.get(name)
+        if value is None:
             return default
-        if isinstance(found, bool) or not isinstance(found, int | float):
+        if isinstance(value, bool) or not isinstance(value, int | float):
             findings.append(Finding(source, f"bounds.{name}", "must be a number"))
             return default
-        return float(found) * scale
+        return float(value) * scale
 
     return Bounds(
-        revocation_ms=number("revocation_s", usual.revocation_ms, 1e3),
-        grace_ms=number("grace_s", usual.grace_ms, 1e3),
-        propagation_ms=number("config_propagation_s", usual.propagation_ms, 1e3),
-        where_valid_ms=number("ttl_max_s", usual.where_valid_ms, 1e3),
-        budget_ratio=number("budget_ratio", usual.budget_ratio),
-        budget_window_ms=number("budget_window_s", usual.budget_window_ms, 1e3),
-        budget_extra=number("budget_extra_attempts", usual.budget_extra),
-        quota_window_ms=number("quota_window_s", usual.quota_window_ms, 1e3),
-        quota_overshoot=number("quota_overshoot", usual.quota_overshoot),
-        quota_slack=number("quota_slack", usual.quota_slack),
-        floor_share=number("floor_share", usual.floor_share),
-        fail_closed=bool(entries.get("fail_closed", usual.fail_closed)),
+        revocation_ms=number("revocation_s", defaults.revocation_ms, 1e3),
+        grace_ms=number("grace_s", defaults.grace_ms, 1e3),
+        propagation_ms=number("config_propagation_s", defaults.propagation_ms, 1e3),
+        where_valid_ms=number("ttl_max_s", defaults.where_valid_ms, 1e3),
+        budget_ratio=number("budget_ratio", defaults.budget_ratio),
+        budget_window_ms=number("budget_window_s", defaults.budget_window_ms, 1e3),
+        budget_extra=number("budget_extra_attempts", defaults.budget_extra),
+        quota_window_ms=number("quota_window_s", defaults.quota_window_ms, 1e3),
+        quota_overshoot=number("quota_overshoot", defaults.quota_overshoot),
+        quota_slack=number("quota_slack", defaults.quota_slack),
+        floor_share=number("floor_share", defaults.floor_share),
+        fail_closed=bool(entries.get("fail_closed", defaults.fail_closed)),
     )
--- a/src/crocusspindle/platform/table_store.py
+++ b/src/crocusspindle/platform/table_store.py
@@ -1,4 +1,4 @@
-"""Speak to the platform's store of tables over HTTP."""
+"""HTTP client of the platform's table store."""
 
 import asyncio
 import base64
@@ -32,16 +32,16 @@
 CONFIGURATION_KEY: Final = "config"
 PAGE_ROWS: Final = 500
 CALL_TIMEOUT_S: Final = 1.0
-"""Usual answers take 4 ms. A silent store is found within the bound of two seconds for
-changes, with time left for another reader."""
+"""Responses typically take 4 ms. An unresponsive store is detected within the bound
+of two seconds for changes, with time left for another reader."""
 
 
 @register_form("table")
 class TableStore:
-    """Read, follow and write rows, each call on a connection of its own.
+    """Read, follow and write rows, each call on a new connection.
 
-    A kept connection can fall silent for good while new ones work; a call a second
-    makes a new one cheap enough.
+    A kept-alive connection can break silently while new ones work; at one call per
+    second, new connections are cheap enough.
     """
 
     def __init__(self, address: str) -> None:
@@ -50,7 +50,7 @@
 
     @classmethod
     def from_config(cls, options: Mapping[str, Any]) -> Self:
-        """Build the store from the platform's part of the settings."""
+        """Build the store from the platform section of the settings."""
         return cls(str(options["address"]))
 
     def _client(self) -> aiohttp.ClientSession:
@@ -59,7 +59,7 @@
                 connector=aiohttp.TCPConnector(force_close=True),
                 cookie_jar=aiohttp.DummyCookieJar(),
             )
-            # The library would send a read again by itself; each call is priced.
+            # aiohttp would retry a failed read by itself; each call has a price.
             self._session._retry_connection = False
         return self._session
 
@@ -71,7 +71,9 @@
         params: Mapping[str, str] | None = None,
         body: Mapping[str, Any] | None = None,
     ) -> tuple[int, Mapping[str, Any]]:
-        unsure = PlatformUnavailableError if method == "GET" else PlatformUnknownError
+        error_type = (
+            PlatformUnavailableError if method == "GET" else PlatformUnknownError
+        )
         try:
             async with asyncio.timeout(timeout_s):
                 async with self._client().request(
@@ -82,7 +84,7 @@
         except aiohttp.ClientConnectorError as error:
             raise PlatformUnavailableError(f"{method} {path}: {error}") from error
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            raise unsure(f"{method} {path}: {error!r}") from error
+            raise error_type(f"{method} {path}: {error!r}") from error
         if status == HTTP_GONE:
             raise HistoryLostError(f"{method} {path}: history is gone")
         if status not in (HTTP_OK, HTTP_CONFLICT):
@@ -90,7 +92,7 @@
         try:
             return status, json.loads(text)
         except ValueError as error:
-            raise unsure(f"{method} {path}: answer is no JSON") from error
+            raise error_type(f"{method} {path}: response is not JSON") from error
 
     async def read(self, table: Table) -> Changes:
         """Return all rows of a table, page by page."""
@@ -98,46 +100,46 @@
         version: int | None = None
         params = {"table": TABLES[table], "part": "", "limit": str(PAGE_ROWS)}
         while True:
-            _, answer = await self._call(
+            _, response = await self._call(
                 "GET", "/-/rows-get", CALL_TIMEOUT_S, params=params
             )
-            page = _rows(answer)
+            page = _rows(response)
             rows += page
-            # Later pages are of later moments; going on from the first one's
-            # version shows again what changed between them.
-            version = int(answer["schema_version"]) if version is None else version
-            if not answer.get("has_more") or not page:
+            # Later pages are read later; following from the first page's version
+            # repeats the changes made between pages.
+            version = int(response["schema_version"]) if version is None else version
+            if not response.get("has_more") or not page:
                 return Changes(rows, version)
             params["range_start"] = page[-1].key + "\0"
 
     async def follow(self, table: Table, after: int, wait_ms: float) -> Changes:
-        """Return what changed after a version, at once or when something does."""
+        """Return the changes after a version; wait at most ``wait_ms`` for one."""
         params = {
             "table": TABLES[table],
             "after": str(after),
             "wait_ms": str(int(wait_ms)),
         }
         timeout_s = wait_ms / 1e3 + CALL_TIMEOUT_S
-        _, answer = await self._call("GET", "/-/rows-feed", timeout_s, params=params)
-        return Changes(_rows(answer), int(answer["schema_version"]))
+        _, response = await self._call("GET", "/-/rows-feed", timeout_s, params=params)
+        return Changes(_rows(response), int(response["schema_version"]))
 
     async def put(self, key: str, value: bytes, expected: int | None) -> int | None:
         """Write a row of the fleet's table; return its version, None on conflict."""
-        place = {"table": TABLES[Table.FLEET], "part": "", "key": key}
+        row_key = {"table": TABLES[Table.FLEET], "part": "", "key": key}
         body: dict[str, Any] = {
             "expected": [],
-            "puts": [{**place, "value": base64.b64encode(value).decode()}],
+            "puts": [{**row_key, "value": base64.b64encode(value).decode()}],
             "remove": [],
         }
         if expected is not None:
-            body["expected"] = [{**place, "schema_version": expected}]
-        status, answer = await self._call(
+            body["expected"] = [{**row_key, "schema_version": expected}]
+        status, response = await self._call(
             "POST", "/-/rows-tx", CALL_TIMEOUT_S, body=body
         )
-        return int(answer["schema_version"]) if status == HTTP_OK else None
+        return int(response["schema_version"]) if status == HTTP_OK else None
 
     def configuration(self, rows: Sequence[StoredRow]) -> bytes | None:
-        """Return the newest value of the row that holds the configuration."""
+        """Return the newest configuration among the rows, or None if absent."""
         values = [row.value for row in rows if row.key == CONFIGURATION_KEY]
         return values[-1] if values else None
 
@@ -146,7 +148,7 @@
         return documents.parse_configuration(value)
 
     def parse_target(self, key: str, value: bytes) -> ListedTarget | None:
-        """Parse an entry of the list of targets; None if it names none to use."""
+        """Parse an entry of the list of targets; None if it is not a usable target."""
         return documents.parse_target(key, value)
 
     async def close(self) -> None:
@@ -155,20 +157,20 @@
             await self._session.close()
 
 
-def _rows(answer: Mapping[str, Any]) -> list[StoredRow]:
+def _rows(response: Mapping[str, Any]) -> list[StoredRow]:
     return [
         StoredRow(
             str(row["key"]),
             int(row.get("schema_version", 0)),
             None if row.get("deleted") else _value(row.get("value")),
         )
-        for row in answer.get("rows", ())
+        for row in response.get("rows", ())
     ]
 
 
 def _value(text: Any) -> bytes:
-    # Rows of other writers may hold anything; what cannot be read is empty, and an
-    # empty entry names no target.
+    # Other programs' rows may hold any value; one that cannot be decoded becomes
+    # empty, and an empty entry is not a target.
     try:
         return base64.b64decode(text or "", validate=True)
     except (binascii.Error, TypeError, ValueError):
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Translate the platform's documents, good and bad ones."""
+"""Tests of parsing valid and invalid platform documents."""
 
 import json
 
@@ -54,12 +54,12 @@
 }
 
 
-def parsed():
+def parsed_configuration():
     return parse_configuration(json.dumps(CONFIGURATION).encode())
 
 
-def test_a_configuration_says_what_the_document_said():
-    configuration = parsed()
+def test_configuration_fields_match_the_document():
+    configuration = parsed_configuration()
     assert configuration.version == 12
     route = configuration.route("hall.example", "/bowls/oak")
     assert route.kind is RequestKind.SAFE and route.timeout_ms == 2_000
@@ -78,29 +78,31 @@
         ("bowls", None),
     ],
 )
-def test_the_longest_prefix_decides(path, name):
-    route = parsed().route("hall.example", path)
+def test_route_with_longest_prefix_matches(path, name):
+    route = parsed_configuration().route("hall.example", path)
     assert (route.name if route else None) == name
 
 
-def test_parts_get_their_weights():
-    weighted_services = parsed().route("hall.example", "/bowls/").weighted_services
-    draws = [choose_service(weighted_services, n / 1_000) for n in range(1_000)]
-    assert draws.count("new") == 100
+def test_services_are_chosen_by_weight():
+    weighted_services = (
+        parsed_configuration().route("hall.example", "/bowls/").weighted_services
+    )
+    choices = [choose_service(weighted_services, n / 1_000) for n in range(1_000)]
+    assert choices.count("new") == 100
 
 
-def test_all_findings_of_a_bad_configuration_come_together():
-    """An operator's tool writes two routes without what they need."""
+def test_invalid_configuration_reports_all_findings():
+    """An operator's tool writes two invalid routes."""
     document = json.loads(json.dumps(CONFIGURATION))
     del document["routes"]["bowls"]["host"]
     document["routes"]["all"]["kind"] = "sometimes"
     with pytest.raises(InvalidInputError) as failed:
         parse_configuration(json.dumps(document).encode())
-    places = [finding.path for finding in failed.value.findings]
-    assert places == ["routes.bowls", "routes.all"]
+    paths = [finding.path for finding in failed.value.findings]
+    assert paths == ["routes.bowls", "routes.all"]
 
 
-def test_a_target_is_what_its_entry_says():
+def test_target_fields_match_the_entry():
     target = parse_target("i-1", json.dumps(TARGET).encode())
     assert target.identity == "i-1" and target.slots == 2
     assert target.readiness is Readiness.READY
@@ -118,27 +120,27 @@
         {"information": []},
     ],
 )
-def test_an_entry_of_another_writer_names_no_target(change):
-    """Something else writes into the list of targets.
+def test_malformed_entry_is_not_a_target(change):
+    """Another program writes entries into the list of targets.
 
-    Half understood, it would send callers' requests to a stranger.
+    Partly parsed, such an entry would send callers' requests to a wrong address.
     """
     assert parse_target("i-1", json.dumps({**TARGET, **change}).encode()) is None
 
 
-def test_bytes_that_are_no_entry_name_no_target():
+def test_undecodable_entry_is_not_a_target():
     assert parse_target("i-1", b"\xff\x00") is None
     assert parse_target("i-1", b"[]") is None
 
 
-def test_settings_come_from_the_platforms_file():
+def test_settings_match_the_platforms_file():
     settings = translate(SETTINGS, "file")
     assert settings.host == "front-a-1" and settings.peer_port == 7340
     assert settings.bounds.revocation_ms == 5_000
     assert settings.bounds.view_fence_ms == 3_000
 
 
-def test_what_a_host_carries_is_the_scarcer_of_processor_and_link():
+def test_capacity_is_limited_by_cpu_or_link():
     limits = {"cpu_share": 0.5, "cores": 3, "link_mbps": 10.0}
     assert translate({**SETTINGS, "limits": limits}, "file").capacity == 10
     limits["link_mbps"] = 1_000.0
@@ -147,14 +149,14 @@
 
 
 @pytest.mark.parametrize("limits", [{"cores": 0}, {"link_mbps": "ten"}, "none"])
-def test_limits_that_are_no_numbers_above_zero_are_named(limits):
+def test_non_positive_limits_are_findings(limits):
     with pytest.raises(SettingsError, match=r"limits\."):
         translate({**SETTINGS, "limits": limits}, "file")
 
 
-def test_all_findings_of_bad_settings_come_together():
+def test_invalid_settings_report_all_findings():
     bad = {**SETTINGS, "node": 3, "internal_ports": [], "bounds": {"grace_s": "x"}}
     with pytest.raises(SettingsError) as failed:
         translate(bad, "file")
-    places = {finding.path for finding in failed.value.findings}
-    assert places == {"node", "internal_ports", "bounds.grace_s"}
+    paths = {finding.path for finding in failed.value.findings}
+    assert paths == {"node", "internal_ports", "bounds.grace_s"}
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -1,4 +1,4 @@
-"""Keep the platform's manner of speaking inside its folder."""
+"""Tests that the platform's terms occur only in the platform folder."""
 
 import io
 import re
@@ -13,7 +13,7 @@
     for file in SOURCE.rglob("*.py")
     if "platform" not in file.relative_to(SOURCE).parts
 )
-WORDS = re.compile(
+PLATFORM_TERMS = re.compile(
     r"\b(tenants?|upstreams?|zones?|back[ -]ends?|machines?)\b"
     r"|X-(Api-Key|Tenant|Server-Stamp|Not-Executed|Expected-Instance|Deadline)"
     r"|/-/(readiness|resolve|rows|blob)|schema_version|api_keys|internal_ports",
@@ -22,13 +22,13 @@
 
 
 @pytest.mark.parametrize("file", FILES, ids=lambda f: str(f.relative_to(SOURCE)))
-def test_no_word_of_the_platform_stands_outside_its_folder(file):
-    """A name of the platform in the fleet's code ties every decision to it."""
+def test_platform_terms_occur_only_in_the_platform_folder(file):
+    """Platform terms in other code would couple it to one platform."""
     text = file.read_text(encoding="utf-8")
     found = [
         f"{token.start[0]}: {match.group()}"
         for token in tokenize.generate_tokens(io.StringIO(text).readline)
         if token.type in (tokenize.NAME, tokenize.STRING, tokenize.COMMENT)
-        for match in WORDS.finditer(token.string)
+        for match in PLATFORM_TERMS.finditer(token.string)
     ]
     assert not found
