--- a/src/crocusspindle/cli.py
+++ b/src/crocusspindle/cli.py
@@ -43,10 +43,10 @@
 
 
 class _Action:
-    """Hold a command's work until the whole command line is known to be right.
+    """Defer a command until Fire has parsed the whole command line.
 
-    Run inside of Fire, a command with a misspelt flag would take effect first and
-    be called wrong afterwards.
+    Run inside of Fire, a command with a misspelt flag would take effect before Fire
+    reports the flag.
     """
 
     def __init__(self, work: Work, output: str) -> None:
@@ -61,19 +61,19 @@
         self._common = common
 
     def submit(self, file: str, wait_ms: float = 0) -> _Action:
-        """Submit a ticket; the same content again succeeds.
+        """Submit a ticket; submitting the same content again succeeds.
 
         Parameters
         ----------
         file
             YAML file of the ticket.
         wait_ms
-            How long to wait until the ticket is in force everywhere.
+            How long to wait for the ticket to be in force on all members.
         """
 
         async def work() -> Any:
             endpoint = self._common._endpoint()
-            result = await call(endpoint, "POST", "/v1/tickets", _read(file))
+            result = await call(endpoint, "POST", "/v1/tickets", _read_bytes(file))
             if wait_ms > 0:
                 await wait_in_force(endpoint, int(result["number"]), float(wait_ms))
                 result["in_force"] = True
@@ -82,7 +82,7 @@
         return self._common._action(work)
 
     def show(self, number: int) -> _Action:
-        """Show one ticket and how far it has come."""
+        """Show one ticket and whether it is in force."""
         return self._common._get(f"/v1/tickets/{number}")
 
     def list(self, after: int = 0, limit: int = 100) -> _Action:
@@ -90,28 +90,30 @@
         return self._common._get(f"/v1/tickets?after={after}&limit={limit}")
 
     def validate(self, file: str) -> _Action:
-        """Check a ticket and your rights to submit it; record nothing."""
+        """Check a ticket and your permission to submit it; record nothing."""
 
         async def work() -> Any:
             endpoint = self._common._endpoint()
-            return await call(endpoint, "POST", "/v1/tickets/validate", _read(file))
+            return await call(
+                endpoint, "POST", "/v1/tickets/validate", _read_bytes(file)
+            )
 
         return self._common._action(work)
 
 
 class Held:
-    """Show and free requests that are held back for crashing their targets."""
+    """List and free requests in quarantine for crashing their targets."""
 
     def __init__(self, common: "Commands") -> None:
         self._common = common
 
     def list(self, settings: str | None = None) -> _Action:
-        """List requests that are held back.
+        """List requests in quarantine.
 
         Parameters
         ----------
         settings
-            Settings file of any node that serves; default from
+            Settings file of any serving node; default from
             CROCUSSPINDLE_SETTINGS.
         """
 
@@ -124,14 +126,14 @@
         return self._common._action(work)
 
     def free(self, content: str, settings: str | None = None) -> _Action:
-        """Free a request on all hosts, once its targets are mended.
+        """Free a request from quarantine on all hosts, once its targets are repaired.
 
         Parameters
         ----------
         content
-            Digest from the list or from the log.
+            Digest of the request, from the list or from the log.
         settings
-            Settings file of any node that serves; default from
+            Settings file of any serving node; default from
             CROCUSSPINDLE_SETTINGS.
         """
 
@@ -156,7 +158,7 @@
     operator_key_file
         File with your operator key; default from CROCUSSPINDLE_OPERATOR_KEY_FILE.
     ca_file
-        PEM file of the authority that signs the port's certificate.
+        PEM file of the CA that signs the port's certificate.
     """
 
     def __init__(
@@ -197,12 +199,12 @@
         return self._action(work)
 
     def losses(self, *files: str) -> _Action:
-        """Sort lost requests by reason, from log files of nodes that serve.
+        """Count lost requests by reason, from log files of serving nodes.
 
         Parameters
         ----------
         files
-            Files of JSON lines, of any nodes and in any order.
+            Files of JSON log lines, from any nodes and in any order.
         """
 
         def work() -> dict[str, Any]:
@@ -234,7 +236,7 @@
         return self._get("/v1/status")
 
     def where(self, caller: str, key_file: str) -> _Action:
-        """Ask a caller port which addresses to use.
+        """List the addresses that a caller port tells callers to use.
 
         Parameters
         ----------
@@ -273,7 +275,7 @@
     os.environ["PAGER"] = "-"
     given = list(sys.argv[1:] if arguments is None else arguments)
     if given in (["--help"], ["-h"], ["help"]):
-        return _help()
+        return _print_help()
     try:
         action = fire.Fire(Commands, command=given, name=NAME, serialize=_serialize)
     except SystemExit as stop:
@@ -286,7 +288,7 @@
     return _perform(action)
 
 
-def _help() -> int:
+def _print_help() -> int:
     fire.Fire(Commands, command=[], name=NAME)
     print("\nFLAGS OF ALL COMMANDS")
     print((Commands.__doc__ or "").partition("----------\n")[2].rstrip())
@@ -308,11 +310,11 @@
     except CommandError as error:
         code, text, findings = error.code, str(error), error.findings
         if error.retry_after_s is not None:
-            text += f" (come back in {error.retry_after_s} s)"
+            text += f" (retry in {error.retry_after_s} s)"
     except InvalidInputError as error:
-        kind = _kind_of(error)
+        input_name = _input_name(error)
         code, findings = ExitCode.FINDINGS, error.findings
-        text = f"{kind} cannot be used: {len(findings)} findings"
+        text = f"{input_name} cannot be used: {len(findings)} findings"
     except (CrocusspindleError, OSError) as error:
         code, text = ExitCode.FAILED, str(error)
     except KeyboardInterrupt:
@@ -321,9 +323,9 @@
     return code
 
 
-def _kind_of(error: InvalidInputError) -> str:
-    kinds = ((TicketError, "ticket"), (SettingsError, "settings"))
-    return next((name for kind, name in kinds if isinstance(error, kind)), "input")
+def _input_name(error: InvalidInputError) -> str:
+    names = ((TicketError, "ticket"), (SettingsError, "settings"))
+    return next((name for kind, name in names if isinstance(error, kind)), "input")
 
 
 def _run_node(path: str) -> None:
@@ -346,20 +348,20 @@
 def _losses(files: Sequence[str]) -> dict[str, Any]:
     from crocusspindle import losses  # noqa: PLC0415 - only this command needs it
 
-    lines = (line for file in files for line in _lines(file))
+    lines = (line for file in files for line in _read_lines(file))
     return losses.read(lines).table()
 
 
-def _lines(file: str) -> Iterator[str]:
+def _read_lines(file: str) -> Iterator[str]:
     try:
-        with Path(str(file)).open(encoding="utf-8", errors="replace") as opened:
-            yield from opened
+        with Path(str(file)).open(encoding="utf-8", errors="replace") as stream:
+            yield from stream
     except OSError as error:
         finding = Finding(str(file), ".", f"cannot be read: {error.strerror}")
         raise InvalidInputError([finding]) from error
 
 
-def _read(file: str) -> bytes:
+def _read_bytes(file: str) -> bytes:
     try:
         return Path(str(file)).read_bytes()
     except OSError as error:
--- a/src/crocusspindle/docs_reference.py
+++ b/src/crocusspindle/docs_reference.py
@@ -1,4 +1,4 @@
-"""Write the operators' reference pages from the code that they describe."""
+"""Generate the operators' reference pages from the code that they describe."""
 
 import inspect
 import sys
@@ -35,7 +35,7 @@
     lines = [
         "# Settings",
         NOTE,
-        "A node reads one YAML file. Unknown keys are refused, and "
+        "A node reads one YAML file. Unknown keys are rejected, and "
         "`crocusspindle check-settings FILE` reports all findings together with "
         "their lines. Times are in ms.",
         "| Key | Type | Default | Meaning |\n| --- | --- | --- | --- |",
@@ -49,8 +49,8 @@
         "# Metrics",
         NOTE,
         "Each node serves its metrics at `GET /metrics` of the `metrics` port, in "
-        "the text format of Prometheus. A label has 100 values at most; what comes "
-        "after them is counted under `other`.",
+        "the text format of Prometheus. A label has at most 100 values; all further "
+        "values are counted under `other`.",
         "| Name | Unit | Labels | Meaning | When it rises |\n"
         "| --- | --- | --- | --- | --- |",
     ]
@@ -64,9 +64,9 @@
         NOTE,
         "All commands take `--output text|json`. Results go to stdout, errors to "
         "stderr. Those that call an operator port take `--operator URL`, "
-        "`--operator_key_file FILE` and, for a certificate of your own authority, "
+        "`--operator_key_file FILE` and, for a certificate of a private CA, "
         "`--ca_file FILE`; the environment variables `CROCUSSPINDLE_OPERATOR` and "
-        "`CROCUSSPINDLE_OPERATOR_KEY_FILE` stand in for the first two.",
+        "`CROCUSSPINDLE_OPERATOR_KEY_FILE` are the defaults of the first two.",
         "| Command | Meaning |\n| --- | --- |",
     ]
     page = _page(lines, _command_rows())
@@ -83,10 +83,10 @@
 
 
 def node_instruments() -> list[Instrument]:
-    """Return the instruments of a node in the order of their modules' text.
+    """Return the instruments of a node in the order of their modules' source.
 
-    The order of their declaration is that of the imports, which differs with what ran
-    before.
+    The order of declaration follows the imports, which depends on the modules that
+    are already loaded.
     """
     names = {**vars(instruments), **vars(gateway_instruments)}
     known = list(declared().values())
@@ -104,24 +104,28 @@
 def _settings_rows(model: type[BaseModel], prefix: str) -> Iterator[str]:
     for name, field in model.model_fields.items():
         key = f"{prefix}{name}"
-        section, many = _section_of(field.annotation)
-        kind = ("list of " if many else "") + (
-            "sections" if section and many else "section" if section else _type(field)
+        section, is_list = _section_of(field.annotation)
+        kind = ("list of " if is_list else "") + (
+            "sections"
+            if section and is_list
+            else "section"
+            if section
+            else _type(field)
         )
         yield f"| `{key}` | {kind} | {_default(field)} | {field.description} |"
         if section is not None:
-            yield from _settings_rows(section, f"{key}[]." if many else f"{key}.")
+            yield from _settings_rows(section, f"{key}[]." if is_list else f"{key}.")
 
 
 def _section_of(annotation: Any) -> tuple[type[BaseModel] | None, bool]:
     if inspect.isclass(annotation) and issubclass(annotation, BaseModel):
         return annotation, False
-    many = get_origin(annotation) is tuple
+    is_list = get_origin(annotation) is tuple
     for part in get_args(annotation):
         section, _ = _section_of(part)
         if section is not None:
-            return section, many
-    return None, many
+            return section, is_list
+    return None, is_list
 
 
 def _type(field: FieldInfo) -> str:
@@ -196,7 +200,7 @@
 
 
 def main() -> None:
-    """Write the pages into the folder given."""
+    """Write the pages to the folder given as the first argument."""
     folder = Path(sys.argv[1])
     for name, page in PAGES.items():
         (folder / name).write_text(page(), encoding="utf-8")
--- a/src/crocusspindle/errors.py
+++ b/src/crocusspindle/errors.py
@@ -1,4 +1,4 @@
-"""Hold the exception tree and the findings that checks collect."""
+"""Define the exception hierarchy and the findings that checks collect."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,9 +6,9 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """Describe one fault of an input and its place.
+    """Describe one fault of an input and its location.
 
-    ``line`` counts from 1; 0 means that the place has no line.
+    ``line`` counts from 1; 0 means that the location has no line.
     """
 
     source: str
@@ -17,12 +17,12 @@
     line: int = 0
 
     def __str__(self) -> str:
-        place = f"{self.source}:{self.line}" if self.line else self.source
-        return f"{place}: {self.path}: {self.message}"
+        location = f"{self.source}:{self.line}" if self.line else self.source
+        return f"{location}: {self.path}: {self.message}"
 
 
 class CrocusspindleError(Exception):
-    """Root of every error that this package raises on purpose."""
+    """Base class of all errors that this package raises on purpose."""
 
 
 class InvalidInputError(CrocusspindleError):
@@ -46,7 +46,7 @@
 
 
 class PlatformError(CrocusspindleError):
-    """Root of the errors of the platform's service."""
+    """Base class of the errors of platform calls."""
 
 
 class PlatformUnavailableError(PlatformError):
@@ -54,15 +54,15 @@
 
 
 class PlatformUnknownError(PlatformError):
-    """Report a call whose effect is unknown, as after a lost answer."""
+    """Report a call whose effect is unknown, as after a lost response."""
 
 
 class PeerError(CrocusspindleError):
-    """Report a peer that did not answer in time or answered nonsense."""
+    """Report a peer that did not respond in time or sent an invalid response."""
 
 
 class NotFitError(CrocusspindleError):
-    """Report a node that may not take this work now, and when to come back."""
+    """Report a node that is not eligible for this work now, and when to retry."""
 
     def __init__(self, reason: str, retry_after_ms: float = 1_000.0) -> None:
         super().__init__(reason)
--- a/src/crocusspindle/exit_codes.py
+++ b/src/crocusspindle/exit_codes.py
@@ -1,10 +1,10 @@
-"""Name the exit codes of the command line."""
+"""Define the exit codes of the command line."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """Tell a script how a command ended; documented for operators."""
+    """Exit codes of commands, for scripts; documented for operators."""
 
     DONE = 0
     FAILED = 1
@@ -19,14 +19,14 @@
 
 
 MEANINGS = {
-    ExitCode.DONE: "The command did what was asked.",
-    ExitCode.FAILED: "Something failed that has no code of its own.",
+    ExitCode.DONE: "The command succeeded.",
+    ExitCode.FAILED: "The command failed for a reason without a code of its own.",
     ExitCode.USAGE: "The command line is wrong; nothing was done.",
-    ExitCode.FINDINGS: "Settings or ticket have findings; nothing was done.",
-    ExitCode.NOT_ALLOWED: "The key is unknown or may not do this; nothing was done.",
-    ExitCode.CONFLICT: "The ticket number holds other content; nothing was done.",
+    ExitCode.FINDINGS: "The settings or the ticket are invalid; nothing was done.",
+    ExitCode.NOT_ALLOWED: "The key is unknown or lacks permission; nothing was done.",
+    ExitCode.CONFLICT: "The ticket number has other content; nothing was done.",
     ExitCode.NOT_FOUND: "There is no such ticket.",
-    ExitCode.COME_BACK: "The node cannot be reached or is not fit; nothing was done.",
-    ExitCode.UNKNOWN: "The answer was lost; submit the same ticket again.",
-    ExitCode.NOT_IN_FORCE: "The ticket is recorded, but not in force within the wait.",
+    ExitCode.COME_BACK: "The node is unreachable or ineligible; nothing was done.",
+    ExitCode.UNKNOWN: "The response was lost; submit the same ticket again.",
+    ExitCode.NOT_IN_FORCE: "The ticket is recorded, but was not in force in time.",
 }
--- a/src/crocusspindle/ids.py
+++ b/src/crocusspindle/ids.py
@@ -1,9 +1,9 @@
-"""Name the identifiers that travel through the fleet."""
+"""Define the types of identifiers used throughout the fleet."""
 
 from typing import Final, NewType
 
 MemberId = NewType("MemberId", str)
-"""One start of one node: a restarted node is a new member."""
+"""One process of one node: a restarted node is a new member."""
 
 DomainId = NewType("DomainId", str)
 """A failure domain."""
@@ -14,10 +14,10 @@
 """The ``host:port`` of one target."""
 
 RequestId = NewType("RequestId", int)
-"""A request, unique within the node that drives the deciding core."""
+"""A request, unique within the node that runs the core."""
 
 AttemptId = NewType("AttemptId", int)
-"""One sending of a request to one target, unique within a home."""
+"""One attempt of a request at one target, unique within a group coordinator."""
 
 OperationKey = NewType("OperationKey", str)
 """The caller's name for one non-idempotent operation."""
@@ -28,16 +28,16 @@
 """The SHA-256 digest of a customer's key, 32 bytes."""
 
 HostId = NewType("HostId", str)
-"""The name of one host, the same over all its starts."""
+"""The name of one host, the same after each restart."""
 
 Incarnation = NewType("Incarnation", str)
-"""One start of the process on a host."""
+"""One process on a host; a restart makes a new one."""
 
 ContentDigest = NewType("ContentDigest", str)
-"""What a request asks and for whom: equal for each time that a caller repeats it."""
+"""Digest of a request's content and customer: equal for each repetition of it."""
 
 NO_CONTENT: Final = ContentDigest("")
-"""Stands for a request of which only its sending is known."""
+"""Digest of a request of which only the attempt is known."""
 
 GrantId = NewType("GrantId", int)
-"""One placement, unique within the placer that made it."""
+"""One granted placement, unique within the placer that made it."""
--- a/src/crocusspindle/instruments.py
+++ b/src/crocusspindle/instruments.py
@@ -10,8 +10,8 @@
     unit="requests",
     labels=("service", "outcome"),
     meaning="Callers' requests that ended at this entry, by service and outcome.",
-    when_rising="Compare the outcomes: more `unknown` points at targets or peers "
-    "that go silent, more `not-run` at overload or an unfit node.",
+    when_rising="Compare the outcomes: more `unknown` points to targets or peers "
+    "that stop responding, more `not-run` to overload or an ineligible node.",
 )
 CUSTOMER_REQUESTS: Final = declare(
     "customer_requests",
@@ -19,7 +19,7 @@
     unit="requests",
     labels=("customer", "outcome"),
     meaning="Callers' requests that ended at this entry, by customer and outcome.",
-    when_rising="One customer alone: see the page on a customer over its rate.",
+    when_rising="For one customer only: see the page on a customer over its rate.",
 )
 REFUSALS: Final = declare(
     "refusals",
@@ -27,7 +27,7 @@
     unit="requests",
     labels=("service", "reason"),
     meaning="Requests that were refused and not run, by reason.",
-    when_rising="Go by the reason: `rate` and `key` concern one customer; "
+    when_rising="Check the reason: `rate` and `key` concern one customer; "
     "`queue-full`, `wait-too-long` and `deadline-unreachable` the service's "
     "capacity, `no-target` its targets, `unfit` this node.",
 )
@@ -36,16 +36,16 @@
     InstrumentKind.HISTOGRAM,
     unit="ms",
     labels=("service",),
-    meaning="Time from a request's head to the end of its answer at the entry.",
-    when_rising="Look at `queue_wait_ms` (too few slots) and `attempt_ms` (slow "
-    "targets); what remains is the fleet's own.",
+    meaning="Time from a request's head to the end of its response at the entry.",
+    when_rising="Check `queue_wait_ms` (too few slots) and `attempt_ms` (slow "
+    "targets); the rest is added by the fleet.",
 )
 QUEUE_WAIT_MS: Final = declare(
     "queue_wait_ms",
     InstrumentKind.HISTOGRAM,
     unit="ms",
     labels=("service",),
-    meaning="Time that requests waited at their home for a slot.",
+    meaning="Time that requests waited at their group coordinator for a slot.",
     when_rising="The service needs more targets, or some are ejected: see `status`.",
 )
 QUEUED: Final = declare(
@@ -53,7 +53,7 @@
     InstrumentKind.GAUGE,
     unit="requests",
     labels=("service",),
-    meaning="Requests that wait at this home.",
+    meaning="Requests that wait at this group coordinator.",
     when_rising="As for `queue_wait_ms`.",
 )
 ATTEMPTS: Final = declare(
@@ -61,7 +61,7 @@
     InstrumentKind.COUNTER,
     unit="attempts",
     labels=("service", "result"),
-    meaning="Sendings of a request to a target, by result.",
+    meaning="Attempts of requests at targets, by result.",
     when_rising="More failures: see `status` for the evidence on each target.",
 )
 ATTEMPT_MS: Final = declare(
@@ -69,7 +69,7 @@
     InstrumentKind.HISTOGRAM,
     unit="ms",
     labels=("service",),
-    meaning="Time from sending a request to a target to the head of its answer.",
+    meaning="Time from sending a request to a target to the head of its response.",
     when_rising="Targets are slow: see the page on gray targets.",
 )
 RETRIES: Final = declare(
@@ -77,39 +77,39 @@
     InstrumentKind.COUNTER,
     unit="attempts",
     labels=("service",),
-    meaning="Idempotent requests that were sent again after a failure.",
-    when_rising="Targets fail; the budget `limits.retry_fraction` bounds the load.",
+    meaning="Retries of idempotent requests after a failure.",
+    when_rising="Targets fail; `limits.retry_fraction` bounds the extra load.",
 )
 HEDGES: Final = declare(
     "hedges",
     InstrumentKind.COUNTER,
     unit="attempts",
     labels=("service",),
-    meaning="Second sendings of a slow idempotent request to another target.",
-    when_rising="A few targets are slow; the budget `limits.hedge_fraction` bounds it.",
+    meaning="Second attempts of slow idempotent requests at another target.",
+    when_rising="Some targets are slow; `limits.hedge_fraction` bounds the load.",
 )
 EJECTED: Final = declare(
     "ejected",
     InstrumentKind.GAUGE,
     unit="targets",
     labels=("service",),
-    meaning="Targets that get no work from this home now.",
-    when_rising="Near the service's floor nothing more is ejected: mend targets first.",
+    meaning="Targets to which this group coordinator sends no work now.",
+    when_rising="Near the service's floor, ejection stops: repair targets first.",
 )
 FIT: Final = declare(
     "fit",
     InstrumentKind.GAUGE,
     unit="1",
-    meaning="1 while the node may take new work, else 0.",
+    meaning="1 while the node is eligible for new work, else 0.",
     when_rising="0 on some nodes: see the page on partitions; 0 on all: the platform "
-    "is away and no majority is in contact.",
+    "is unreachable and no majority is in contact.",
 )
 STAMP_AGE_MS: Final = declare(
     "stamp_age_ms",
     InstrumentKind.GAUGE,
     unit="ms",
-    meaning="Age of the node's freshness stamp.",
-    when_rising="On one node it is cut off; on all, the platform is away.",
+    meaning="Age of the node's freshness timestamp.",
+    when_rising="On one node: it is cut off; on all: the platform is unreachable.",
 )
 MEMBERS: Final = declare(
     "members",
@@ -123,7 +123,7 @@
     InstrumentKind.GAUGE,
     unit="number",
     meaning="Number of the last ticket that the node applied.",
-    when_rising="It rises with each ticket; a node that stays behind is cut off.",
+    when_rising="It rises with each ticket; a node that lags is cut off.",
 )
 PLATFORM_CALLS: Final = declare(
     "platform_calls",
@@ -138,30 +138,30 @@
     InstrumentKind.HISTOGRAM,
     unit="ms",
     labels=("call",),
-    meaning="Time of calls to the platform.",
-    when_rising="The platform is slow; tickets take longer to be in force.",
+    meaning="Duration of calls to the platform.",
+    when_rising="The platform is slow; tickets take longer to come into force.",
 )
 PEERS: Final = declare(
     "peers",
     InstrumentKind.GAUGE,
     unit="connections",
     meaning="Peers in two-way contact.",
-    when_rising="Fewer than in `members`: see the page on partitions.",
+    when_rising="Fewer than `members`: see the page on partitions.",
 )
 SHARE_REFUSALS: Final = declare(
     "share_refusals",
     InstrumentKind.COUNTER,
     unit="requests",
     labels=("customer",),
-    meaning="Requests refused for lack of tokens at the holder asked.",
-    when_rising="Compare with the customer's rate: within it, tokens lie elsewhere.",
+    meaning="Requests refused because the holder asked had no tokens.",
+    when_rising="If the customer is within its rate, other holders have the tokens.",
 )
 SHARE_LOANS: Final = declare(
     "share_loans",
     InstrumentKind.COUNTER,
     unit="loans",
     meaning="Loans of tokens between holders of shares.",
-    when_rising="Callers keep old addresses, or holders were replaced.",
+    when_rising="Callers use outdated addresses, or holders were replaced.",
 )
 CALLER_CONNECTIONS: Final = declare(
     "caller_connections",
@@ -177,30 +177,30 @@
     unit="calls",
     labels=("status",),
     meaning="Calls at the operator port, by HTTP status.",
-    when_rising="More 401: somebody tries keys; more 409: operators race.",
+    when_rising="More 401: unknown keys are tried; more 409: tickets conflict.",
 )
 HEALTH_CHANGES: Final = declare(
     "health_changes",
     InstrumentKind.COUNTER,
     unit="changes",
     labels=("service", "change"),
-    meaning="Changes in how homes here judge targets, by kind.",
-    when_rising="See the page on gray targets; `GroupSuspect` points at the path.",
+    meaning="Changes of target health at this node's group coordinators, by kind.",
+    when_rising="See the page on gray targets; `GroupSuspect` points to the path.",
 )
 OPERATIONS_KEPT: Final = declare(
     "operations_kept",
     InstrumentKind.GAUGE,
     unit="operations",
     meaning="Records of operation keys that this node holds.",
-    when_rising="Callers name more operations than fit in the retention time; at the "
-    "bound new operations are refused.",
+    when_rising="Callers begin more operations within the retention time; at the "
+    "bound, new operations are refused.",
 )
 HEARTBEAT_BYTES: Final = declare(
     "heartbeat_bytes",
     InstrumentKind.GAUGE,
     unit="bytes",
-    meaning="Bytes of heartbeats and echoes sent to peers since the start, with 66 of "
-    "headers each.",
-    when_rising="It always grows; above 20 KB/s look for a fleet larger than "
-    "the pace of heartbeats is made for.",
+    meaning="Bytes of heartbeats and echoes sent to peers since the start, including "
+    "66 bytes of headers each.",
+    when_rising="It always grows; above 20 KB/s the fleet is larger than the heartbeat "
+    "interval is designed for.",
 )
--- a/src/crocusspindle/kernel.py
+++ b/src/crocusspindle/kernel.py
@@ -19,7 +19,7 @@
 
 
 class Service:
-    """Give a service its tasks and the empty hooks; subclasses set ``name``.
+    """Base class of services: owns their tasks; subclasses set ``name``.
 
     ``needs`` names the services that start before and stop after this one.
     """
@@ -34,14 +34,14 @@
         """Begin to serve; return once the service is ready."""
 
     async def drain(self) -> None:
-        """Finish what runs ahead of a planned stop; may be cancelled."""
+        """Finish running work before a planned stop; may be cancelled."""
 
     async def stop(self) -> None:
-        """Release everything; tasks that were spawned end afterwards."""
+        """Release all resources; the kernel cancels spawned tasks afterwards."""
 
-    def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Run work as long as the service; its failure stops the kernel."""
-        task = asyncio.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
+        """Run a coroutine until the service stops; its failure stops the kernel."""
+        task = asyncio.create_task(coroutine)
         self._owned_tasks().add(task)
         task.add_done_callback(self._task_done)
         return task
@@ -67,51 +67,53 @@
 
 
 class Kernel:
-    """Hold the services of one node.
+    """Start, drain and stop the services of one node.
 
-    ``drain_ms`` bounds the draining of a planned stop.
+    ``drain_ms`` bounds the drain of a planned stop.
     """
 
     def __init__(self, drain_ms: float = 20_000.0) -> None:
         self._drain_s = drain_ms / 1000
         self._services: dict[str, Service] = {}
         self._started: list[Service] = []
-        self._stop_wanted = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._stop_now = asyncio.Event()
         self._failure: KernelError | None = None
         self._log = Logger("kernel")
 
     def add(self, name: str, service: Service) -> None:
-        """Add a service under a name that nobody else uses."""
+        """Add a service under a unique name."""
         if name in self._services:
-            raise KernelError(f"two services are called {name}")
+            raise KernelError(f"two services are named {name}")
         service._on_failure = self._service_failed
         self._services[name] = service
 
     def get(self, name: str, kind: type[T]) -> T:
-        """Return the service of that name, which must be of that type."""
+        """Return a service by name; raise ``KernelError`` unless it has that type."""
         service = self._services.get(name)
         if service is None:
-            raise KernelError(f"no service is called {name}")
+            raise KernelError(f"no service is named {name}")
         if not isinstance(service, kind):
-            raise KernelError(f"service {name} is no {kind.__name__}")
+            raise KernelError(f"service {name} is not a {kind.__name__}")
         return service
 
     def start_order(self) -> tuple[str, ...]:
-        """Return the names such that each comes after what it needs."""
+        """Return the services' names in topological order of their needs."""
         for name, service in self._services.items():
             for need in service.needs:
                 if need not in self._services:
-                    raise KernelError(f"service {name} needs {need}, which is not here")
+                    raise KernelError(
+                        f"service {name} needs {need}, which is not registered"
+                    )
         graph = {name: service.needs for name, service in self._services.items()}
         try:
             return tuple(TopologicalSorter(graph).static_order())
         except CycleError as error:
-            circle = " -> ".join(error.args[1])
-            raise KernelError(f"services need each other: {circle}") from error
+            cycle = " -> ".join(error.args[1])
+            raise KernelError(f"services need each other: {cycle}") from error
 
     async def start(self) -> None:
-        """Start the services in order; after a failure stop those started."""
+        """Start the services in order; if one fails, stop those started."""
         for name in self.start_order():
             service = self._services[name]
             try:
@@ -127,39 +129,39 @@
         log_state_change(self._log, "started", services=len(self._started))
 
     async def stop(self) -> None:
-        """Stop the services in reverse order; raise ``KernelError`` afterwards."""
+        """Stop all services in reverse order; raise ``KernelError`` if any failed."""
         failures = await self._stop_started()
         log_state_change(self._log, "stopped")
         if failures:
             raise KernelError("; ".join(failures))
 
     async def drain(self) -> None:
-        """Let all services finish, within the bound or until a stop at once."""
+        """Drain all services, until the bound or an immediate stop."""
         draining = [asyncio.create_task(service.drain()) for service in self._started]
         if not draining:
             return
         log_state_change(self._log, "draining", drain_ms=self._drain_s * 1000)
-        hurry = asyncio.create_task(self._stop_now.wait())
-        whole = asyncio.gather(*draining, return_exceptions=True)
+        stop_now = asyncio.create_task(self._stop_now.wait())
+        all_drained = asyncio.gather(*draining, return_exceptions=True)
         await asyncio.wait(
-            (whole, hurry),
+            (all_drained, stop_now),
             timeout=self._drain_s,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        for task in (*draining, hurry):
+        for task in (*draining, stop_now):
             task.cancel()
-        await asyncio.gather(*draining, hurry, return_exceptions=True)
+        await asyncio.gather(*draining, stop_now, return_exceptions=True)
 
     def request_stop(self) -> None:
-        """Ask for a planned stop; asked again, for a stop at once."""
-        if self._stop_wanted.is_set():
+        """Request a planned stop; a second call requests an immediate stop."""
+        if self._stop_requested.is_set():
             self._stop_now.set()
-        self._stop_wanted.set()
+        self._stop_requested.set()
 
     async def run(self) -> None:
-        """Serve until a stop is asked for; raise ``KernelError`` on a failure."""
+        """Serve until a stop is requested; raise ``KernelError`` on a failure."""
         await self.start()
-        await self._stop_wanted.wait()
+        await self._stop_requested.wait()
         if self._failure is None:
             await self.drain()
         await self.stop()
@@ -175,14 +177,14 @@
                     await service.stop()
                     await service.cancel_tasks()
             except Exception as error:
-                # One service that cannot stop must not keep the others from
-                # releasing their sockets: collect and go on.
+                # A service that fails to stop must not keep the others from
+                # releasing their sockets.
                 failures.append(f"service {service.name} did not stop: {error!r}")
         return failures
 
     def _service_failed(self, name: str, error: BaseException) -> None:
-        # A task that dies silently leaves a node that looks alive and serves
-        # nothing. The node ends instead, and the fleet sees a lost member.
+        # A node that goes on without a failed task looks alive and serves nothing;
+        # once the process ends, the fleet detects a lost member.
         log_state_change(self._log, "service failed", service=name, error=repr(error))
         if self._failure is None:
             self._failure = KernelError(f"service {name} failed: {error!r}")
@@ -191,17 +193,17 @@
 
 
 class _KernelRunner(aiomisc.Service):
-    """Put the kernel under the entry point of aiomisc."""
+    """Connect the kernel to the aiomisc entrypoint and its signals."""
 
     kernel: Kernel
 
     async def start(self) -> None:
-        """Start all services."""
+        """Install the signal handlers."""
         for number in _SIGNALS:
             self.loop.add_signal_handler(number, self.kernel.request_stop)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Leave the signals to their defaults."""
+        """Remove the signal handlers."""
         for number in _SIGNALS:
             self.loop.remove_signal_handler(number)
 
@@ -209,7 +211,7 @@
 def run(build: Callable[[], Kernel]) -> None:
     """Build a kernel inside the event loop and run it until it is stopped.
 
-    SIGTERM and SIGINT lead to a planned stop, a second one to a stop at once.
+    SIGTERM or SIGINT starts a planned stop; a second one stops at once.
     """
 
     async def serve() -> None:
--- a/src/crocusspindle/log_lines.py
+++ b/src/crocusspindle/log_lines.py
@@ -1,4 +1,4 @@
-"""Make log lines: their fields, their JSON form, and never a key in them."""
+"""Format log lines as fields or JSON, and redact secrets."""
 
 import json
 import re
@@ -17,14 +17,14 @@
 
 
 def log_state_change(logger: logbook.Logger, change: str, /, **fields: Any) -> None:
-    """Write one line for a change of state, with its fields."""
+    """Log one line for a state change, with its fields."""
     logger.info(change, extra=fields)
 
 
 def redact(record: logbook.LogRecord) -> None:
-    """Remove values of fields that are named like a secret, and bearer keys.
+    """Redact bearer keys and the values of fields named like a secret.
 
-    A key in a log outlives its withdrawal and reaches everyone who reads logs.
+    A key in a log outlives its withdrawal and is exposed to all readers of logs.
     """
     record.msg = _redacted("msg", record.msg)
     for name, value in list(record.extra.items()):
@@ -44,7 +44,7 @@
 
 
 def fields_of(record: logbook.LogRecord) -> dict[str, Any]:
-    """Return what a line tells of a record."""
+    """Return the fields of a record's log line."""
     return {
         "time": record.time.isoformat(timespec="milliseconds") + "Z",
         "level": record.level_name.lower(),
@@ -55,7 +55,7 @@
 
 
 def format_json(record: logbook.LogRecord, handler: logbook.Handler) -> str:
-    """Return a record as one JSON object."""
+    """Return a record as one line of JSON."""
     fields = fields_of(record)
     if record.exc_info:
         fields["exception"] = record.formatted_exception
--- a/src/crocusspindle/logs.py
+++ b/src/crocusspindle/logs.py
@@ -1,4 +1,4 @@
-"""Send log lines where the settings say, as text or JSON."""
+"""Configure logging from the settings, as text or JSON."""
 
 import sys
 from typing import Final, TextIO
@@ -12,9 +12,9 @@
 def set_up_logs(
     settings: LogSettings, stream: TextIO | None = None
 ) -> logbook.NestedSetup:
-    """Send the lines of the whole process to a stream, by default stderr.
+    """Log the whole process to a stream, by default stderr.
 
-    The result's ``pop_application`` undoes it.
+    The returned setup's ``pop_application`` undoes it.
     """
     handler = logbook.StreamHandler(
         stream or sys.stderr, level=settings.level.value.upper()
@@ -27,7 +27,7 @@
     return setup
 
 
-def _as_text(record: logbook.LogRecord, handler: logbook.Handler) -> str:
+def _format_text(record: logbook.LogRecord, handler: logbook.Handler) -> str:
     fields = fields_of(record)
     head = " ".join(
         str(fields.pop(name)) for name in ("time", "level", "logger", "message")
@@ -37,4 +37,4 @@
     return f"{text}\n{record.formatted_exception}" if record.exc_info else text
 
 
-_FORMATTERS: Final = {LogFormat.JSON: format_json, LogFormat.TEXT: _as_text}
+_FORMATTERS: Final = {LogFormat.JSON: format_json, LogFormat.TEXT: _format_text}
--- a/src/crocusspindle/losses.py
+++ b/src/crocusspindle/losses.py
@@ -1,7 +1,7 @@
-"""Sort the requests that nodes' log lines tell of by why they were lost, and when.
+"""Count lost requests by reason and time, from the log lines of nodes.
 
-Operators ask first which requests were lost, at which moments and for what reason. The
-lines of the entries hold it one by one; this counts them.
+Operators need to know first which requests were lost, when and why. Each entry logs one
+line per request; this module aggregates them.
 """
 
 import json
@@ -18,15 +18,15 @@
 SUCCESS: Final = "2"
 LATE: Final = "late"
 CLIENT_ERRORS: Final = frozenset({"400", "401", "403", "404", "413", "431"})
-"""Answers to requests that were not proper: no loss of the fleet's."""
+"""Outcomes of invalid requests, which don't count as losses."""
 
-MOMENTS_MAX: Final = 5
-"""Seconds named for each reason, the heaviest first."""
+MAX_SECONDS_PER_LOSS: Final = 5
+"""Seconds listed for each kind of loss, those with the most losses first."""
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """Name one kind of loss: of which route, with which outcome, for what reason."""
+    """Identify one kind of loss by route, request kind, outcome and reason."""
 
     route: str
     kind: str
@@ -36,9 +36,9 @@
 
 @dataclass
 class LossReport:
-    """Hold what was asked, and what was lost for which reason in which second.
+    """Count requests by route, and losses by kind and second.
 
-    Seconds count from the first request that the lines tell of.
+    Seconds count from the first request in the log lines.
     """
 
     asked: Counter[str] = field(default_factory=Counter)
@@ -47,12 +47,12 @@
 
     @property
     def losses(self) -> list[tuple[Loss, int]]:
-        """Return the kinds of loss with their numbers, the heaviest first."""
-        found = [(loss, seconds.total()) for loss, seconds in self.lost.items()]
-        return sorted(found, key=lambda entry: -entry[1])
+        """Return the kinds of loss with their counts, the most frequent first."""
+        totals = [(loss, seconds.total()) for loss, seconds in self.lost.items()]
+        return sorted(totals, key=lambda entry: -entry[1])
 
     def table(self) -> dict[str, Any]:
-        """Return the report as plain data, the heaviest loss first."""
+        """Return the report as plain data, the most frequent loss first."""
         return {
             "requests": self.asked.total(),
             "lines_unread": self.unread,
@@ -63,7 +63,7 @@
                     "reason": loss.reason,
                     "route": loss.route,
                     "kind": loss.kind,
-                    "at_s": dict(self.lost[loss].most_common(MOMENTS_MAX)),
+                    "at_s": dict(self.lost[loss].most_common(MAX_SECONDS_PER_LOSS)),
                 }
                 for loss, number in self.losses
             ],
@@ -71,20 +71,20 @@
 
 
 def read(lines: Iterable[str]) -> LossReport:
-    """Count the lines of any nodes, in any order; what precedes the JSON is left out.
+    """Count log lines of any nodes, in any order; skip text that precedes the JSON.
 
-    Raise ``InvalidInputError`` if none of them tells of a request.
+    Raise ``InvalidInputError`` if no line describes a request.
     """
     report = LossReport()
     found: list[tuple[float, dict[str, Any]]] = []
     for line in lines:
-        at = line.find("{")
-        if at < 0:
+        json_start = line.find("{")
+        if json_start < 0:
             continue
         try:
-            entry = json.loads(line[at:])
+            entry = json.loads(line[json_start:])
             if entry["message"] in (ENDED, REFUSED):
-                found.append((_second(entry), entry))
+                found.append((_unix_s(entry), entry))
         except (ValueError, KeyError, TypeError):
             report.unread += 1
     if not found:
@@ -96,7 +96,7 @@
     return report
 
 
-def _second(entry: dict[str, Any]) -> float:
+def _unix_s(entry: dict[str, Any]) -> float:
     return datetime.fromisoformat(entry["time"]).timestamp()
 
 
--- a/src/crocusspindle/metrics.py
+++ b/src/crocusspindle/metrics.py
@@ -1,7 +1,7 @@
 """Declare, count and render metrics.
 
-Instruments are declared once, with what an operator needs to know; the table in
-the operators' pages is made from these declarations.
+Instruments are declared once, with the information that operators need; the metrics
+page for operators is generated from these declarations.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -19,11 +19,11 @@
 
 PREFIX: Final = "crocusspindle_"
 OTHER: Final = "other"
-"""The label value that stands for all those above the bound."""
+"""The label value that replaces all values above the bound."""
 
 LABEL_VALUES_MAX: Final = 100
-"""Most values of one label. With 520,000 customers an unbounded label would cost
-more memory than the whole control budget of a node, and would stop the scraper."""
+"""Maximum number of values of one label. With 520,000 customers, an unbounded label
+would take more memory than a node's whole control budget and stop the scraper."""
 
 LATENCY_BUCKETS_MS: Final = (
     *(0.5, 1, 2, 3.5, 5, 7.1, 10, 20, 50, 100),
@@ -32,7 +32,7 @@
 
 
 class InstrumentKind(Enum):
-    """Tell how an instrument's value moves."""
+    """Kind of an instrument, as Prometheus names it."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Instrument:
-    """Describe one metric to the code and to operators."""
+    """Describe one metric for the code and for operators."""
 
     name: str
     kind: InstrumentKind
@@ -52,7 +52,7 @@
 
     @property
     def exported_name(self) -> str:
-        """Return the name under which a scraper finds the metric."""
+        """Return the metric's name as scraped."""
         suffix = "_total" if self.kind is InstrumentKind.COUNTER else ""
         return f"{PREFIX}{self.name}{suffix}"
 
@@ -69,7 +69,7 @@
     when_rising: str,
     labels: tuple[str, ...] = (),
 ) -> Instrument:
-    """Declare an instrument under a name that nobody else uses."""
+    """Declare an instrument under a unique name."""
     if name in _DECLARED:
         raise ValueError(f"metric {name} is declared twice")
     instrument = Instrument(name, kind, unit, meaning, when_rising, labels)
@@ -83,7 +83,7 @@
 
 
 class Metrics:
-    """Hold the values of one process."""
+    """Hold the metric values of one process."""
 
     def __init__(
         self, node: str, domain: str, label_values_max: int = LABEL_VALUES_MAX
@@ -108,49 +108,52 @@
     def add(self, counter: Instrument, amount: float = 1, **labels: str) -> None:
         """Add to a counter.
 
-        Requests do this several times each, so it adds in a dict that the exporter
-        reads at a scrape: the library's own way in takes 15 us on one core.
+        Each request does this several times, so counts are kept in a dict that the
+        exporter reads on scrape: the library's own counter takes 15 us per call.
         """
         counts = self._counts.get(counter.name)
         if counts is None:
-            counts = self._count(counter)
+            counts = self._create_counter(counter)
         key = tuple(labels[name] for name in counter.labels)
         if key not in counts:
-            bounded = self._bounded(labels)
+            bounded = self._bounded_labels(labels)
             key = tuple(bounded[name] for name in counter.labels)
         counts[key] = counts.get(key, 0.0) + amount
 
     def set(self, gauge: Instrument, value: float, **labels: str) -> None:
-        """Set a gauge."""
-        self._instrument(gauge).set(value, self._bounded(labels))
+        """Set the value of a gauge."""
+        self._instrument(gauge).set(value, self._bounded_labels(labels))
 
     def record(self, histogram: Instrument, value: float, **labels: str) -> None:
         """Record one value in a histogram."""
-        self._instrument(histogram).record(value, self._bounded(labels))
+        self._instrument(histogram).record(value, self._bounded_labels(labels))
 
     def observe(
         self,
         gauge: Instrument,
         read: Callable[[], Iterable[tuple[float, Mapping[str, str]]]],
     ) -> None:
-        """Read a gauge's values and labels at each scrape."""
+        """Read a gauge's values and labels on each scrape."""
 
         def callback(options: CallbackOptions) -> Iterable[Observation]:
-            return [Observation(value, self._bounded(lab)) for value, lab in read()]
+            return [
+                Observation(value, self._bounded_labels(gauge_labels))
+                for value, gauge_labels in read()
+            ]
 
         self._instruments[gauge.name] = self._meter.create_observable_gauge(
             PREFIX + gauge.name, [callback], description=gauge.meaning
         )
 
     def render(self) -> bytes:
-        """Return all values in the text format of Prometheus."""
+        """Return all values in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def close(self) -> None:
-        """Release the exporter."""
+        """Shut down the exporter."""
         self._provider.shutdown()
 
-    def _count(self, counter: Instrument) -> dict[tuple[str, ...], float]:
+    def _create_counter(self, counter: Instrument) -> dict[tuple[str, ...], float]:
         counts: dict[tuple[str, ...], float] = {}
 
         def callback(options: CallbackOptions) -> Iterable[Observation]:
@@ -168,25 +171,30 @@
     def _instrument(self, instrument: Instrument) -> Any:
         found = self._instruments.get(instrument.name)
         if found is None:
-            histogram = instrument.kind is InstrumentKind.HISTOGRAM
+            is_histogram = instrument.kind is InstrumentKind.HISTOGRAM
             create = (
-                self._meter.create_histogram if histogram else self._meter.create_gauge
+                self._meter.create_histogram
+                if is_histogram
+                else self._meter.create_gauge
             )
             found = create(PREFIX + instrument.name, description=instrument.meaning)
             self._instruments[instrument.name] = found
         return found
 
-    def _bounded(self, labels: Mapping[str, str]) -> Mapping[str, str]:
+    def _bounded_labels(self, labels: Mapping[str, str]) -> Mapping[str, str]:
         for label, value in labels.items():
             seen = self._label_values.setdefault(label, set())
             if value in seen:
                 continue
             if len(seen) >= self._label_values_max:
-                return {name: self._kept(name, val) for name, val in labels.items()}
+                return {
+                    name: self._bounded_value(name, text)
+                    for name, text in labels.items()
+                }
             seen.add(value)
         return labels
 
-    def _kept(self, label: str, value: str) -> str:
+    def _bounded_value(self, label: str, value: str) -> str:
         seen = self._label_values.setdefault(label, set())
         if value in seen or len(seen) < self._label_values_max:
             seen.add(value)
--- a/src/crocusspindle/operator_client.py
+++ b/src/crocusspindle/operator_client.py
@@ -1,4 +1,4 @@
-"""Call the operator port and the callers' address list over HTTP."""
+"""HTTP client of the operator port and of the callers' address list."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 
 
 class CommandError(CrocusspindleError):
-    """End a command with an exit code and findings."""
+    """Report why a command failed, with its exit code and findings."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Endpoint:
-    """Name a port, the key to show and the authority that signs its certificate."""
+    """Identify a port, the key to present and the CA that signs its certificate."""
 
     url: str
     key: str
@@ -59,11 +59,11 @@
     def from_config(
         cls, url: str | None, key_file: str | None, ca_file: str | None
     ) -> "Endpoint":
-        """Read the key; raise ``CommandError`` when something is not given."""
+        """Read the key file; raise ``CommandError`` if an option is missing."""
         if not url:
             raise CommandError("give the URL of a node's port", ExitCode.USAGE)
         if not key_file:
-            raise CommandError("give the file that holds your key", ExitCode.USAGE)
+            raise CommandError("give the file that contains your key", ExitCode.USAGE)
         try:
             key = Path(key_file).read_text(encoding="utf-8").strip()
         except (OSError, UnicodeDecodeError) as error:
@@ -93,29 +93,29 @@
         ):
             return _result(response.status, response.headers, await response.text())
     except (aiohttp.ClientConnectorError, aiohttp.InvalidURL) as error:
-        raise CommandError(f"not reached: {error}", ExitCode.COME_BACK) from error
+        raise CommandError(f"cannot connect: {error}", ExitCode.COME_BACK) from error
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-        # Only a submitted ticket can have taken effect without our knowing.
+        # Only a submitted ticket may have taken effect despite the error.
         lost = method == "POST" and path == "/v1/tickets"
         code = ExitCode.UNKNOWN if lost else ExitCode.COME_BACK
         advice = "; submit the same ticket again" if lost else ""
-        message = f"no answer: {error or type(error).__name__}{advice}"
+        message = f"no response: {error or type(error).__name__}{advice}"
         raise CommandError(message, code) from error
 
 
 async def wait_in_force(
     endpoint: Endpoint, number: int, wait_ms: float
 ) -> dict[str, Any]:
-    """Ask for a ticket until it is in force everywhere or the wait is over."""
+    """Poll a ticket until it is in force on all members or ``wait_ms`` is over."""
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + wait_ms / 1000
-    waits_for = "an answer"
+    waits_for = "a response"
     while True:
         try:
             record = await call(endpoint, "GET", f"/v1/tickets/{number}")
         except CommandError as error:
-            # The ticket is recorded. To end with the code of this call would tell
-            # the operator that nothing was done.
+            # The ticket is recorded: the exit code of this call would report that
+            # nothing was done.
             waits_for = str(error)
         else:
             if record.get("in_force"):
@@ -136,7 +136,7 @@
         return data
     if not isinstance(data, dict):
         data = {}
-    found = tuple(
+    findings = tuple(
         Finding(
             str(item.get("source", "")),
             str(item.get("path", "")),
@@ -145,10 +145,10 @@
         )
         for item in data.get("findings", ())
     )
-    wait = headers.get("Retry-After", "")
+    retry_after = headers.get("Retry-After", "")
     raise CommandError(
         str(data.get("error", f"status {status}")),
         _CODE_BY_STATUS.get(status, ExitCode.FAILED),
-        found,
-        int(wait) if wait.isdigit() else None,
+        findings,
+        int(retry_after) if retry_after.isdigit() else None,
     )
--- a/src/crocusspindle/settings.py
+++ b/src/crocusspindle/settings.py
@@ -17,7 +17,7 @@
 
 
 def load_settings(path: str | Path) -> NodeSettings:
-    """Read and check a settings file; raise ``SettingsError`` with all findings."""
+    """Read and validate a settings file; raise ``SettingsError`` with all findings."""
     source = str(path)
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -28,7 +28,7 @@
 
 
 def check_settings(text: str, source: str) -> NodeSettings:
-    """Check settings given as text; raise ``SettingsError`` with all findings."""
+    """Validate settings given as text; raise ``SettingsError`` with all findings."""
     document = read_document(text, source)
     findings = list(document.findings)
     content = document.content
@@ -49,7 +49,7 @@
 def fleet_key(
     settings: FleetSettings, environment: Mapping[str, str] = os.environ
 ) -> bytes:
-    """Return the key that nodes show each other; raise ``SettingsError``."""
+    """Return the shared key of the nodes; raise ``SettingsError`` if there is none."""
     if settings.key_file is not None:
         path, source = "fleet.key_file", str(settings.key_file)
         try:
--- a/src/crocusspindle/settings_schema.py
+++ b/src/crocusspindle/settings_schema.py
@@ -1,6 +1,6 @@
 """Define the schema of a node's settings.
 
-Each field's description is its line in the settings reference for operators.
+Each field's description appears in the settings reference for operators.
 """
 
 from enum import Enum
@@ -19,28 +19,28 @@
 
 
 class Section(BaseModel):
-    """Refuse unknown keys and stay unchanged after the check."""
+    """Base class of sections: rejects unknown keys; immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, hide_input_in_errors=True)
 
 
 class TlsSettings(Section):
-    """Name the certificate that a port shows."""
+    """Settings of the certificate that a port presents."""
 
     certificate_file: Path = Field(description="PEM file of the certificate chain.")
     key_file: Path = Field(description="PEM file of the private key.")
 
 
 class PeerTlsSettings(TlsSettings):
-    """Name the certificate of the node and the authority of all nodes."""
+    """Settings of the node's certificate and of the CA of all nodes."""
 
     ca_file: Path = Field(
-        description="PEM file of the authority that signs every node's certificate."
+        description="PEM file of the CA that signs every node's certificate."
     )
 
 
 class IdentitySettings(Section):
-    """Name the node and its place."""
+    """Settings of the node's name and location."""
 
     name: Name = Field(description="Name of the host, unique within the fleet.")
     domain: Name = Field(description="Failure domain of the host.")
@@ -48,44 +48,45 @@
 
 
 class CallerSettings(Section):
-    """Set the port for callers and what one connection may hold."""
+    """Settings of the caller port and the limits of its connections."""
 
-    host: str = Field(description="IP number to listen on.")
-    port: Port = Field(description="Port to listen on; 0 takes a free one.")
+    host: str = Field(description="IP address to listen on.")
+    port: Port = Field(description="Port to listen on; 0 picks a free one.")
     advertise: str | None = Field(
         default=None,
         pattern=ADDRESS_PATTERN,
-        description="The `host:port` that callers are told; else the one listened on.",
+        description="The `host:port` given to callers; default: the listen address.",
     )
     tls: TlsSettings | None = Field(default=None, description="TLS of the caller port.")
     max_header_bytes: int = Field(
         default=16_384,
         ge=1024,
-        description="Most bytes of one header line; above it: 400.",
+        description="Maximum bytes of one header line; above it: 400.",
     )
     body_buffer_bytes: int = Field(
         default=262_144,
         ge=4096,
-        description="Most bytes of a body held in memory at once.",
+        description="Maximum bytes of a body buffered in memory at once.",
     )
     slow_sender_ms: PositiveMs = Field(
         default=15_000,
-        description="Longest silence of a sender within a request; then 408.",
+        description="Maximum time without data within a request; then 408.",
     )
     max_connections: PositiveInt = Field(
-        default=2_000, description="Most callers' connections at once; above it: 503."
+        default=2_000,
+        description="Maximum number of open caller connections; above it: 503.",
     )
 
 
 class PeerSettings(Section):
-    """Set the port for the other nodes of the fleet."""
+    """Settings of the port for the other nodes of the fleet."""
 
-    host: str = Field(description="IP number to listen on, reached by the peers.")
-    port: Port = Field(description="Port to listen on; 0 takes a free one.")
+    host: str = Field(description="IP address to listen on, reachable by the peers.")
+    port: Port = Field(description="Port to listen on; 0 picks a free one.")
     advertise: str | None = Field(
         default=None,
         pattern=ADDRESS_PATTERN,
-        description="The `host:port` that peers are told; else the one listened on.",
+        description="The `host:port` given to peers; default: the listen address.",
     )
     tls: PeerTlsSettings | None = Field(
         default=None, description="Mutual TLS between nodes."
@@ -93,7 +94,7 @@
 
 
 class Role(Enum):
-    """Tell what a principal may do at the operator port."""
+    """Role of a principal at the operator port."""
 
     OPERATOR = "operator"
     OWNER = "owner"
@@ -101,7 +102,7 @@
 
 
 class Principal(Section):
-    """Describe someone who may use the operator port."""
+    """Settings of one user of the operator port."""
 
     name: Name = Field(description="Name written to the audit trail.")
     role: Role = Field(
@@ -119,20 +120,22 @@
     @model_validator(mode="after")
     def _check_services(self) -> "Principal":
         if (self.role is Role.OWNER) != bool(self.services):
-            raise ValueError("services belong to principals of role owner, and only")
+            raise ValueError(
+                "services are required for role owner and forbidden otherwise"
+            )
         return self
 
 
 class OperatorSettings(Section):
-    """Set the port for operators and who may use it."""
+    """Settings of the operator port and its principals."""
 
-    host: str = Field(description="IP number to listen on.")
-    port: Port = Field(description="Port to listen on; 0 takes a free one.")
+    host: str = Field(description="IP address to listen on.")
+    port: Port = Field(description="Port to listen on; 0 picks a free one.")
     tls: TlsSettings | None = Field(
         default=None, description="TLS of the operator port."
     )
     principals: tuple[Principal, ...] = Field(
-        description="Who may use the port, and as what; at least one."
+        description="The users of the port and their roles; at least one."
     )
 
     @model_validator(mode="after")
@@ -140,40 +143,40 @@
         if not self.principals:
             raise ValueError("there must be at least one principal")
         if len({p.key_sha256 for p in self.principals}) != len(self.principals):
-            raise ValueError("two principals share a key")
+            raise ValueError("two principals have the same key")
         if len({p.name for p in self.principals}) != len(self.principals):
-            raise ValueError("two principals share a name")
+            raise ValueError("two principals have the same name")
         return self
 
 
 class MetricsSettings(Section):
-    """Set the scrape endpoint."""
+    """Settings of the scrape endpoint."""
 
-    host: str = Field(description="IP number to listen on.")
-    port: Port = Field(description="Port to listen on; 0 takes a free one.")
+    host: str = Field(description="IP address to listen on.")
+    port: Port = Field(description="Port to listen on; 0 picks a free one.")
 
 
 class FleetSettings(Section):
-    """Name the fleet and where its nodes find their shared key."""
+    """Settings of the fleet's name and of its nodes' shared key."""
 
     name: Name = Field(description="Name of the fleet, the same on each node.")
     key_file: Path | None = Field(
-        default=None, description="File with the key that nodes show each other."
+        default=None, description="File with the shared key of the nodes."
     )
     key_env: str | None = Field(
         default=None,
-        description="Environment variable with that key, in place of a file.",
+        description="Environment variable with that key, instead of a file.",
     )
 
     @model_validator(mode="after")
     def _check_key(self) -> "FleetSettings":
         if (self.key_file is None) == (self.key_env is None):
-            raise ValueError("give one of key_file and key_env")
+            raise ValueError("give exactly one of key_file and key_env")
         return self
 
 
 class PlatformSettings(Section):
-    """Choose the platform adapter; its options stand beside the name."""
+    """Settings of the platform adapter: its name and, beside it, its options."""
 
     model_config = ConfigDict(extra="allow", frozen=True, hide_input_in_errors=True)
 
@@ -183,40 +186,42 @@
 
     @property
     def options(self) -> dict[str, Any]:
-        """Return what stands beside ``adapter``, for the adapter's ``from_config``."""
+        """Return the keys beside ``adapter``, for the adapter's ``from_config``."""
         return dict(self.model_extra or {})
 
 
 class TimingSettings(Section):
-    """Set the periods and bounds of time."""
+    """Settings of intervals and time limits."""
 
     heartbeat_ms: PositiveMs = Field(
         default=500, description="Time between heartbeats of a peer connection."
     )
     freshness_ms: PositiveMs = Field(
         default=4_000,
-        description="Oldest freshness stamp with which a node takes new work.",
+        description="Maximum age of the freshness timestamp of a node that takes new "
+        "work.",
     )
     silence_ms: PositiveMs = Field(
         default=5_000,
-        description="Silence after which a member is taken out of the view.",
+        description="Time without contact until a member is removed from the view.",
     )
     poll_ms: PositiveMs = Field(
         default=1_000, description="Time between a poller's reads of the ticket log."
     )
     platform_timeout_ms: PositiveMs = Field(
-        default=1_000, description="Longest platform call."
+        default=1_000, description="Timeout of a platform call."
     )
     hand_over_ms: PositiveMs = Field(
         default=150,
-        description="Longest wait for a home's word that a request is queued.",
+        description="Maximum wait for a group coordinator to confirm that a request is "
+        "queued.",
     )
     where_max_age_ms: PositiveMs = Field(
-        default=15_000, description="How long a caller may keep the list of addresses."
+        default=15_000, description="How long a caller may cache the list of addresses."
     )
     drain_ms: PositiveMs = Field(
         default=20_000,
-        description="Longest time that a planned stop waits for requests.",
+        description="Maximum time that a planned stop waits for requests.",
     )
     operation_retention_ms: PositiveMs = Field(
         default=3_600_000,
@@ -230,24 +235,26 @@
         if self.silence_ms <= self.freshness_ms:
             raise ValueError("silence_ms must be above freshness_ms")
         if self.drain_ms < self.where_max_age_ms:
-            raise ValueError("drain_ms must not be below where_max_age_ms")
+            raise ValueError("drain_ms must be at least where_max_age_ms")
         return self
 
 
 class LimitSettings(Section):
-    """Set the bounds of load and memory."""
+    """Settings of the limits of load and memory."""
 
     retry_fraction: Fraction = Field(
-        default=0.1, description="Most retries, as a fraction of requests."
+        default=0.1, description="Maximum retries, as a fraction of requests."
     )
     hedge_fraction: Fraction = Field(
-        default=0.05, description="Most hedged requests, as a fraction of requests."
+        default=0.05, description="Maximum hedged requests, as a fraction of requests."
     )
     answer_kept_bytes: PositiveInt = Field(
-        default=65_536, description="Largest answer kept for a repeated operation key."
+        default=65_536,
+        description="Largest response kept for a repeated operation key.",
     )
     operation_memory_bytes: PositiveInt = Field(
-        default=16_777_216, description="Most memory for outcomes of operation keys."
+        default=16_777_216,
+        description="Maximum memory in bytes for outcomes of operation keys.",
     )
     pollers_per_domain: PositiveInt = Field(
         default=3, description="Nodes of a failure domain that read the ticket log."
@@ -255,14 +262,14 @@
 
 
 class LogFormat(Enum):
-    """Choose how log lines look."""
+    """Format of log lines."""
 
     TEXT = "text"
     JSON = "json"
 
 
 class LogLevel(Enum):
-    """Choose the least severe level that is written."""
+    """Least severe level that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -271,38 +278,38 @@
 
 
 class LogSettings(Section):
-    """Choose format and level of the log."""
+    """Settings of the log's format and level."""
 
     format: LogFormat = Field(
         default=LogFormat.TEXT, description="Format of log lines."
     )
     level: LogLevel = Field(
-        default=LogLevel.INFO, description="Least severe level written."
+        default=LogLevel.INFO, description="Least severe level logged."
     )
 
 
 class NodeSettings(Section):
-    """Hold all settings of one node."""
+    """All settings of one node."""
 
-    node: IdentitySettings = Field(description="The node and its place.")
+    node: IdentitySettings = Field(description="The node and its location.")
     caller: CallerSettings = Field(description="The port for callers.")
     peer: PeerSettings = Field(description="The port for the other nodes.")
     operator: OperatorSettings = Field(description="The port for operators.")
     metrics: MetricsSettings | None = Field(
         default=None, description="The scrape endpoint."
     )
-    fleet: FleetSettings = Field(description="What all nodes share.")
+    fleet: FleetSettings = Field(description="Settings common to all nodes.")
     platform: PlatformSettings = Field(description="The platform adapter.")
     timings: TimingSettings = Field(
         default_factory=TimingSettings,
-        description="Periods and bounds of time.",
+        description="Intervals and time limits.",
     )
     limits: LimitSettings = Field(
         default_factory=LimitSettings,
-        description="Bounds of load and memory.",
+        description="Limits of load and memory.",
     )
     log: LogSettings = Field(default_factory=LogSettings, description="The log.")
     unpack_path: Path | None = Field(
         default=None,
-        description="Folder in memory to which the binary unpacks its native parts.",
+        description="In-memory folder into which the binary unpacks its native parts.",
     )
--- a/src/crocusspindle/tls.py
+++ b/src/crocusspindle/tls.py
@@ -1,4 +1,4 @@
-"""Make TLS contexts from the settings and reload certificates that change."""
+"""Create TLS contexts from the settings and reload changed certificates."""
 
 import asyncio
 import ssl
@@ -21,9 +21,9 @@
 
 @dataclass
 class WatchedContext:
-    """Hold one TLS context and the files that it was loaded from.
+    """Hold one TLS context and the state of the files that it was loaded from.
 
-    A context that changes serves new handshakes; open connections go on.
+    A reloaded context applies to new handshakes; open connections continue.
     """
 
     context: ssl.SSLContext
@@ -32,7 +32,7 @@
 
     @classmethod
     def from_config(cls, settings: TlsSettings, protocol: int) -> "WatchedContext":
-        """Load the files; raise ``SettingsError`` when they do not fit together."""
+        """Load the files; raise ``SettingsError`` if they do not match."""
         watched = cls(_new_context(protocol), settings)
         if isinstance(settings, PeerTlsSettings):
             watched.context.verify_mode = ssl.CERT_REQUIRED
@@ -42,41 +42,42 @@
         return watched
 
     def load(self) -> None:
-        """Load the files as they are now; a fault leaves the context as it was."""
+        """Load the current files; an error leaves the context unchanged."""
         settings = self.settings
-        state = _state_of(_files(settings))
+        states = _file_states(_files(settings))
         try:
-            # Certificate and key are two files. In the moment between their
-            # replacements they do not match, and loading them would leave a
-            # context that fails every handshake. So a spare one is tried first.
-            _fill(_new_context(ssl.PROTOCOL_TLS_SERVER), settings)
-            _fill(self.context, settings)
+            # Between the replacement of certificate and key the files don't match.
+            # Loading them would break every handshake, so test a spare context.
+            _load_files(_new_context(ssl.PROTOCOL_TLS_SERVER), settings)
+            _load_files(self.context, settings)
         except (OSError, ssl.SSLError) as error:
-            place = str(settings.certificate_file)
-            raise SettingsError([Finding(place, "tls", str(error))]) from error
-        self.loaded = state
+            certificate_file = str(settings.certificate_file)
+            raise SettingsError(
+                [Finding(certificate_file, "tls", str(error))]
+            ) from error
+        self.loaded = states
 
     def changed(self) -> bool:
-        """Return True if a file differs from what was loaded."""
-        return _state_of(_files(self.settings)) != self.loaded
+        """Return True if a file has changed since it was loaded."""
+        return _file_states(_files(self.settings)) != self.loaded
 
 
 def server_context(settings: TlsSettings) -> WatchedContext:
-    """Return the context of a port; peers must show a certificate of the authority."""
+    """Return the context of a port; peers must present a certificate of the CA."""
     return WatchedContext.from_config(settings, ssl.PROTOCOL_TLS_SERVER)
 
 
 def peer_client_context(settings: PeerTlsSettings) -> WatchedContext:
     """Return the context with which a node calls its peers.
 
-    Nodes are called by IP number, so the authority vouches for the fleet and the
-    host name is not compared.
+    Nodes are addressed by IP address: trust rests on the CA of the fleet, and the host
+    name is not checked.
     """
     return WatchedContext.from_config(settings, ssl.PROTOCOL_TLS_CLIENT)
 
 
 class CertificateReloader(Service):
-    """Reload certificates whose files change, without a restart."""
+    """Reload certificates when their files change, without a restart."""
 
     name: ClassVar[str] = "certificates"
 
@@ -92,27 +93,30 @@
         self._failed: dict[int, tuple[FileState, ...]] = {}
 
     async def start(self) -> None:
-        """Begin to watch the files."""
+        """Start watching the files."""
         if self._watched:
             self.spawn(self._watch())
 
     def reload_changed(self) -> None:
-        """Reload what has changed; a fault is reported once for each change."""
+        """Reload changed files; log an error once for each change."""
         for watched in self._watched:
             if not watched.changed():
                 continue
-            state = _state_of(_files(watched.settings))
-            place = str(watched.settings.certificate_file)
+            states = _file_states(_files(watched.settings))
+            certificate_file = str(watched.settings.certificate_file)
             try:
                 watched.load()
             except SettingsError as error:
-                if self._failed.get(id(watched)) != state:
+                if self._failed.get(id(watched)) != states:
                     log_state_change(
-                        _LOG, "certificate not loaded", file=place, error=str(error)
+                        _LOG,
+                        "certificate not loaded",
+                        file=certificate_file,
+                        error=str(error),
                     )
-                self._failed[id(watched)] = state
+                self._failed[id(watched)] = states
                 continue
-            log_state_change(_LOG, "certificate loaded", file=place)
+            log_state_change(_LOG, "certificate loaded", file=certificate_file)
             if self._on_reload is not None:
                 self._on_reload(watched)
 
@@ -126,7 +130,7 @@
 class NodeTls:
     """Hold the contexts of a node's ports and the service that reloads them.
 
-    A port without TLS in the settings has None.
+    The context of a port without TLS is None.
     """
 
     caller: ssl.SSLContext | None
@@ -138,7 +142,7 @@
     @classmethod
     def from_config(cls, settings: NodeSettings) -> "NodeTls":
         """Load all certificates; raise ``SettingsError`` with all findings."""
-        wanted = (
+        sections = (
             (settings.caller.tls, ssl.PROTOCOL_TLS_SERVER),
             (settings.operator.tls, ssl.PROTOCOL_TLS_SERVER),
             (settings.peer.tls, ssl.PROTOCOL_TLS_SERVER),
@@ -146,19 +150,21 @@
         )
         loaded: list[WatchedContext | None] = []
         findings: list[Finding] = []
-        for part, protocol in wanted:
+        for section, protocol in sections:
             try:
                 loaded.append(
-                    None if part is None else WatchedContext.from_config(part, protocol)
+                    None
+                    if section is None
+                    else WatchedContext.from_config(section, protocol)
                 )
             except SettingsError as error:
-                findings += [one for one in error.findings if one not in findings]
+                findings += [item for item in error.findings if item not in findings]
         if findings:
             raise SettingsError(findings)
         caller, operator, server, client = (
-            None if one is None else one.context for one in loaded
+            None if item is None else item.context for item in loaded
         )
-        reloader = CertificateReloader([one for one in loaded if one is not None])
+        reloader = CertificateReloader([item for item in loaded if item is not None])
         return cls(caller, operator, server, client, reloader)
 
 
@@ -168,7 +174,7 @@
     return context
 
 
-def _fill(context: ssl.SSLContext, settings: TlsSettings) -> None:
+def _load_files(context: ssl.SSLContext, settings: TlsSettings) -> None:
     context.load_cert_chain(settings.certificate_file, settings.key_file)
     if isinstance(settings, PeerTlsSettings):
         context.load_verify_locations(settings.ca_file)
@@ -181,7 +187,7 @@
     return files
 
 
-def _state_of(files: Sequence[Path]) -> tuple[FileState, ...]:
+def _file_states(files: Sequence[Path]) -> tuple[FileState, ...]:
     states = []
     for file in files:
         try:
--- a/src/crocusspindle/unpack.py
+++ b/src/crocusspindle/unpack.py
@@ -1,9 +1,9 @@
-"""Start the binary: unpack its native parts to the named folder, then run.
+"""Start the binary: unpack its native parts to the configured folder, then run.
 
-The binary is a zip file that Python runs; shared libraries cannot be loaded out of
-it. Hosts have no disk, so they are unpacked only to a folder in memory that the
-operator names. Everything happens in the one process. This module uses the
-standard library only, because it runs before anything is unpacked.
+The binary is a zip archive that Python runs; shared libraries cannot be loaded from
+it. Hosts have no disk, so they are unpacked only to an in-memory folder that the
+operator configures. Unpacking and running share one process. This module uses only
+the standard library, because it runs before the dependencies are unpacked.
 """
 
 import os
@@ -30,7 +30,7 @@
 
 
 def start(archive: Path) -> int:
-    """Run the command line out of the archive and return its exit code."""
+    """Run the command line from the archive and return its exit code."""
     if sys.version_info[:2] != PYTHON:
         return _fail(f"needs Python {PYTHON[0]}.{PYTHON[1]}", USAGE)
     sys.dont_write_bytecode = True
@@ -49,28 +49,28 @@
 def unpack_folder(
     arguments: Sequence[str], environment: Mapping[str, str]
 ) -> Path | None:
-    """Return the folder that the environment or the settings name.
+    """Return the unpack folder from the environment or the settings.
 
-    None means that the command needs no native parts. Raise ``UnpackError`` when
-    it needs them and no folder is named.
+    None means that the command needs no native parts. Raise ``UnpackError`` if it
+    needs them and no folder is configured.
     """
-    named = environment.get(UNPACK_ENV)
-    if named:
-        return Path(named)
+    configured = environment.get(UNPACK_ENV)
+    if configured:
+        return Path(configured)
     file = settings_file(arguments)
     if file is None:
         return None
-    named = _unpack_path_in(file)
-    if named is None:
+    configured = _unpack_path_in(file)
+    if configured is None:
         raise UnpackError(
             f"{file}: unpack_path: is missing; name a folder in memory there "
             f"or in {UNPACK_ENV}"
         )
-    return Path(named)
+    return Path(configured)
 
 
 def settings_file(arguments: Sequence[str]) -> str | None:
-    """Return the settings file that a command line names."""
+    """Return the settings file given on a command line."""
     given = list(arguments)
     command = next((word for word in given if word in SETTINGS_COMMANDS), None)
     if command is None or "--help" in given:
@@ -85,41 +85,42 @@
 
 
 def unpack(archive: Path, folder: Path) -> Path:
-    """Unpack the native parts below a folder, once for each build of the binary."""
+    """Unpack the native parts into a folder, once for each build of the binary."""
     try:
         with zipfile.ZipFile(archive) as bundle:
             digest = bundle.read(DIGEST_FILE).decode()
             names = bundle.read(NATIVE_LIST).decode().splitlines()
-            home = folder / f"crocusspindle-{digest[:16]}"
-            if not home.exists():
-                _unpack_whole(bundle, names, home)
+            unpacked = folder / f"crocusspindle-{digest[:16]}"
+            if not unpacked.exists():
+                _unpack_atomically(bundle, names, unpacked)
     except (OSError, zipfile.BadZipFile) as error:
         raise UnpackError(f"cannot unpack to {folder}: {error}") from error
-    _check_owner(home)
-    return home
+    _check_owner(unpacked)
+    return unpacked
 
 
-def _unpack_whole(bundle: zipfile.ZipFile, names: list[str], home: Path) -> None:
-    # Two nodes of a host may start at once, or one be killed while it unpacks.
-    # Either would leave half a folder that later starts trust; the rename makes
-    # a folder appear only whole.
-    home.parent.mkdir(parents=True, exist_ok=True)
-    part = Path(tempfile.mkdtemp(prefix=".crocusspindle-", dir=home.parent))
+def _unpack_atomically(
+    bundle: zipfile.ZipFile, names: list[str], unpacked: Path
+) -> None:
+    # Two nodes of a host may start at once, or one be killed while it unpacks. The
+    # rename is atomic, so later starts never use an incomplete folder.
+    unpacked.parent.mkdir(parents=True, exist_ok=True)
+    partial = Path(tempfile.mkdtemp(prefix=".crocusspindle-", dir=unpacked.parent))
     try:
-        bundle.extractall(part, names)
-        part.rename(home)
+        bundle.extractall(partial, names)
+        partial.rename(unpacked)
     except OSError:
-        shutil.rmtree(part, ignore_errors=True)
-        if not home.exists():
+        shutil.rmtree(partial, ignore_errors=True)
+        if not unpacked.exists():
             raise
 
 
-def _check_owner(home: Path) -> None:
-    # In a folder that everyone may write to, somebody else could put libraries
-    # of their own where this process would load them.
-    status = home.stat()
+def _check_owner(unpacked: Path) -> None:
+    # In a world-writable folder, another user could place libraries that this
+    # process would load.
+    status = unpacked.stat()
     if status.st_uid != os.getuid() or status.st_mode & (stat.S_IWGRP | stat.S_IWOTH):
-        raise UnpackError(f"{home} can be changed by others; remove it")
+        raise UnpackError(f"{unpacked} can be changed by others; remove it")
 
 
 def _unpack_path_in(file: str) -> str | None:
@@ -130,11 +131,11 @@
     except (OSError, UnicodeDecodeError, yaml.YAMLError) as error:
         raise UnpackError(f"{file}: cannot be read: {error}") from error
     finally:
-        # Found in the archive, it lacks its native part.
+        # From the archive, yaml lacks its native part; let later imports load it again.
         for name in [name for name in sys.modules if name.split(".")[0] == "yaml"]:
             del sys.modules[name]
-    named = data.get("unpack_path") if isinstance(data, dict) else None
-    return str(named) if named else None
+    configured = data.get("unpack_path") if isinstance(data, dict) else None
+    return str(configured) if configured else None
 
 
 def _fail(text: str, code: int) -> int:
--- a/src/crocusspindle/yaml_document.py
+++ b/src/crocusspindle/yaml_document.py
@@ -1,4 +1,4 @@
-"""Read YAML or JSON text together with the lines of its entries."""
+"""Parse YAML or JSON text and locate the lines of its entries."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,41 +9,41 @@
 from crocusspindle.errors import Finding
 
 MAX_BYTES: Final = 4 * 1024 * 1024
-"""Parsing holds the event loop: 4 MiB carry the 10,000 entries of a ticket."""
+"""Parsing blocks the event loop; 4 MiB suffice for the 10,000 entries of a ticket."""
 
 MAX_DEPTH: Final = 16
-"""Tickets and settings nest four deep; the parser below recurses without a guard."""
+"""Tickets and settings nest four deep; the YAML parser recurses without a limit."""
 
 ROOT: Final = "document"
 
-Place = Sequence[str | int]
+EntryPath = Sequence[str | int]
 
 
 class LineMap:
-    """Find the line of an entry by its path in the document."""
+    """Map an entry's path in the document to its line."""
 
     def __init__(self, root: yaml.Node | None = None) -> None:
         self._root = root
 
-    def line(self, place: Place) -> int:
-        """Return the line of the deepest known part of a path, 0 when unknown."""
+    def line(self, path: EntryPath) -> int:
+        """Return the line of the deepest entry found along a path, 0 if unknown."""
         node = self._root
         if node is None:
             return 0
         line = _line(node)
-        for part in place:
-            found = _child(node, part)
-            if found is None:
+        for part in path:
+            child = _child(node, part)
+            if child is None:
                 break
-            line, node = found
+            line, node = child
         return line
 
 
 @dataclass(frozen=True)
 class YamlDocument:
-    """Hold plain data, the lines of its entries and what is wrong with the text.
+    """Hold plain data, the lines of its entries and the findings of the text.
 
-    With ``readable`` False the text could not be read, and there is no data.
+    If ``readable`` is False, the text could not be parsed and there is no data.
     """
 
     source: str
@@ -52,25 +52,24 @@
     findings: tuple[Finding, ...] = ()
     readable: bool = True
 
-    def finding(self, place: Place, message: str) -> Finding:
-        """Return a finding at the place of an entry."""
-        return Finding(self.source, dotted(place), message, self.lines.line(place))
+    def finding(self, path: EntryPath, message: str) -> Finding:
+        """Return a finding at the line of an entry."""
+        return Finding(self.source, dotted(path), message, self.lines.line(path))
 
 
-def dotted(place: Place) -> str:
-    """Return a place as operators read it, such as ``a.b[0]``."""
+def dotted(path: EntryPath) -> str:
+    """Return an entry's path in dotted form, such as ``a.b[0]``."""
     text = ""
-    for part in place:
+    for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}"
     return text.lstrip(".") or ROOT
 
 
 def read_document(text: bytes | str, source: str) -> YamlDocument:
-    """Read a document without building anything but plain data.
+    """Parse a document into plain data only.
 
-    Findings tell of text that is too large, too deep or not YAML, of aliases (which
-    multiply in memory) and of keys that stand twice (of which the loader silently
-    keeps one).
+    Findings report text that is too large, too deep or not YAML, aliases (which
+    expand in memory) and duplicate keys (of which the loader silently keeps one).
     """
     if len(text) > MAX_BYTES:
         return _unreadable(Finding(source, ROOT, f"exceeds {MAX_BYTES} bytes"))
@@ -90,7 +89,7 @@
         return _unreadable(Finding(source, ROOT, message, line))
     except (yaml.YAMLError, UnicodeDecodeError, ValueError) as error:
         return _unreadable(Finding(source, ROOT, str(error)))
-    findings = tuple(_repeated_keys(root, source))
+    findings = tuple(_duplicate_key_findings(root, source))
     return YamlDocument(source, content, LineMap(root), findings)
 
 
@@ -102,46 +101,48 @@
     depth = 0
     for event in yaml.parse(text, Loader=yaml.CSafeLoader):
         if isinstance(event, yaml.AliasEvent):
-            return _at(event, source, "aliases are not allowed")
+            return _finding_at(event, source, "aliases are not allowed")
         if isinstance(event, yaml.CollectionStartEvent):
             depth += 1
         elif isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
         if depth > MAX_DEPTH:
-            return _at(event, source, "nests too deep")
+            return _finding_at(event, source, "is nested too deeply")
     return None
 
 
-def _repeated_keys(root: yaml.Node | None, source: str) -> list[Finding]:
+def _duplicate_key_findings(root: yaml.Node | None, source: str) -> list[Finding]:
     findings: list[Finding] = []
     nodes: list[tuple[yaml.Node, tuple[str | int, ...]]] = []
     if root is not None:
         nodes.append((root, ()))
     while nodes:
-        node, place = nodes.pop()
+        node, path = nodes.pop()
         if isinstance(node, yaml.SequenceNode):
-            nodes += [(item, (*place, i)) for i, item in enumerate(node.value)]
+            nodes += [(item, (*path, i)) for i, item in enumerate(node.value)]
         if isinstance(node, yaml.MappingNode):
-            findings += _repeated(node, place, source)
-            nodes += [(value, (*place, str(key.value))) for key, value in node.value]
+            findings += _duplicate_keys(node, path, source)
+            nodes += [(value, (*path, str(key.value))) for key, value in node.value]
     return sorted(findings, key=lambda finding: finding.line)
 
 
-def _repeated(
-    node: yaml.MappingNode, place: tuple[str | int, ...], source: str
+def _duplicate_keys(
+    node: yaml.MappingNode, path: tuple[str | int, ...], source: str
 ) -> list[Finding]:
     seen: set[str] = set()
-    found = []
+    duplicates = []
     for key, _ in node.value:
         name = str(key.value)
         if name in seen:
-            path = dotted((*place, name))
-            found.append(Finding(source, path, "stands twice", _line(key)))
+            dotted_path = dotted((*path, name))
+            duplicates.append(
+                Finding(source, dotted_path, "is a duplicate key", _line(key))
+            )
         seen.add(name)
-    return found
+    return duplicates
 
 
-def _at(event: yaml.Event, source: str, message: str) -> Finding:
+def _finding_at(event: yaml.Event, source: str, message: str) -> Finding:
     mark = event.start_mark
     return Finding(source, ROOT, message, mark.line + 1 if mark else 0)
 
--- a/tests/product/test_kernel.py
+++ b/tests/product/test_kernel.py
@@ -30,16 +30,16 @@
         self.events.append(f"stop {self.name}")
 
 
-def kernel_of(*services, drain_ms=1000.0):
+def make_kernel(*services, drain_ms=1000.0):
     kernel = Kernel(drain_ms)
     for service in services:
         kernel.add(service.name, service)
     return kernel
 
 
-async def test_starts_by_needs_drains_and_stops_in_reverse():
+async def test_services_start_by_needs_and_stop_in_reverse():
     events = []
-    kernel = kernel_of(Recorder("b", events, ("a",)), Recorder("a", events))
+    kernel = make_kernel(Recorder("b", events, ("a",)), Recorder("a", events))
     running = asyncio.create_task(kernel.run())
     await asyncio.sleep(0)
     kernel.request_stop()
@@ -49,38 +49,38 @@
     assert events[4:] == ["stop b", "stop a"]
 
 
-async def test_failure_while_starting_stops_what_was_started():
+async def test_failed_start_stops_started_services():
     events = []
     broken = Recorder("b", events, ("a",), fails=True)
-    kernel = kernel_of(broken, Recorder("a", events))
+    kernel = make_kernel(broken, Recorder("a", events))
     with pytest.raises(KernelError, match="service b did not start: no port"):
         await kernel.start()
     assert events == ["start a", "stop b", "stop a"]
 
 
-async def test_a_task_that_dies_ends_the_node():
-    """A service's loop ends with an error while its port still accepts.
+async def test_failed_task_stops_the_node():
+    """A service's loop fails while its port still accepts connections.
 
-    Callers would be taken in and never answered; the node must end instead.
+    Callers would never get a response; the node must stop instead.
     """
     events = []
     service = Recorder("a", events)
-    kernel = kernel_of(service)
+    kernel = make_kernel(service)
 
-    async def dies():
+    async def fail():
         raise ValueError("broken loop")
 
     running = asyncio.create_task(kernel.run())
     await asyncio.sleep(0)
-    service.spawn(dies())
+    service.spawn(fail())
     with pytest.raises(KernelError, match=r"service a failed.*broken loop"):
         await running
     assert events == ["start a", "stop a"]
 
 
-async def test_second_request_cuts_the_draining_short():
+async def test_second_stop_request_ends_the_drain():
     events = []
-    kernel = kernel_of(Recorder("a", events, drain_s=60), drain_ms=60_000)
+    kernel = make_kernel(Recorder("a", events, drain_s=60), drain_ms=60_000)
     running = asyncio.create_task(kernel.run())
     await asyncio.sleep(0)
     kernel.request_stop()
@@ -92,19 +92,22 @@
 
 @pytest.mark.parametrize(
     ("needs_a", "needs_b", "message"),
-    [(("b",), ("a",), "need each other"), (("c",), (), "needs c, which is not here")],
+    [
+        (("b",), ("a",), "need each other"),
+        (("c",), (), "needs c, which is not registered"),
+    ],
 )
-async def test_needs_that_cannot_be_met(needs_a, needs_b, message):
-    kernel = kernel_of(Recorder("a", [], needs_a), Recorder("b", [], needs_b))
+async def test_unsatisfiable_needs(needs_a, needs_b, message):
+    kernel = make_kernel(Recorder("a", [], needs_a), Recorder("b", [], needs_b))
     with pytest.raises(KernelError, match=message):
         kernel.start_order()
 
 
-async def test_lookup_is_typed():
+async def test_get_checks_name_and_type():
     service = Recorder("a", [])
-    kernel = kernel_of(service)
+    kernel = make_kernel(service)
     assert kernel.get("a", Recorder) is service
-    with pytest.raises(KernelError, match="is no Kernel"):
+    with pytest.raises(KernelError, match="is not a Kernel"):
         kernel.get("a", Kernel)
     with pytest.raises(KernelError, match="no service"):
         kernel.get("x", Recorder)
@@ -112,7 +115,7 @@
         kernel.add("a", service)
 
 
-def test_a_signal_leads_to_a_planned_stop():
+def test_sigterm_starts_a_planned_stop():
     events = []
 
     class Signals(Recorder):
@@ -120,5 +123,5 @@
             await super().start()
             os.kill(os.getpid(), signal.SIGTERM)
 
-    kernel_module.run(lambda: kernel_of(Signals("a", events)))
+    kernel_module.run(lambda: make_kernel(Signals("a", events)))
     assert events == ["start a", "drain a", "stop a"]
--- a/tests/product/test_operator_port.py
+++ b/tests/product/test_operator_port.py
@@ -43,7 +43,7 @@
 
 class FakeBackend:
     def __init__(self):
-        self.asked = 0
+        self.reads = 0
 
     async def validate(self, document):
         if document in FAILURES:
@@ -56,8 +56,8 @@
         return SubmitResult(5, "ab", repeated=False)
 
     async def ticket(self, number):
-        self.asked += 1
-        waiting = ("a2",) if self.asked == 1 else ()
+        self.reads += 1
+        waiting = ("a2",) if self.reads == 1 else ()
         record = TicketRecord(number, "ab", "ops", not waiting, waiting, "{}")
         return record if number == 5 else None
 
@@ -73,15 +73,15 @@
         return {"node": "a1", "fit": True, "opens_at_ms": float("inf")}
 
 
-def principal(name, role, services=()):
+def make_principal(name, role, services=()):
     digest = hashlib.sha256(name.encode()).hexdigest()
     return Principal(name=name, role=role, services=services, key_sha256=digest)
 
 
 PRINCIPALS = (
-    principal("ops", "operator"),
-    principal("own", "owner", ("s1",)),
-    principal("see", "viewer"),
+    make_principal("ops", "operator"),
+    make_principal("own", "owner", ("s1",)),
+    make_principal("see", "viewer"),
 )
 
 
@@ -92,7 +92,7 @@
         yield client
 
 
-async def ask(client, method, path, key="ops", body=None):
+async def call_api(client, method, path, key="ops", body=None):
     headers = {"Authorization": f"Bearer {key}"}
     async with client.request(method, path, headers=headers, data=body) as response:
         return response.status, await response.json(), response.headers
@@ -120,8 +120,8 @@
         ("ops", b"x" * 5_000_000, 413),
     ],
 )
-async def test_submit_by_role_and_outcome(client, key, document, status):
-    got, body, headers = await ask(client, "POST", "/v1/tickets", key, document)
+async def test_submit_status_by_role_and_outcome(client, key, document, status):
+    got, body, headers = await call_api(client, "POST", "/v1/tickets", key, document)
     assert got == status
     assert status < 400 or set(body) == {"error", "findings"}
     assert "secret detail" not in json.dumps(body)
@@ -143,8 +143,8 @@
         ("/v1/none", 404),
     ],
 )
-async def test_viewers_read(client, path, status):
-    got, body, _ = await ask(client, "GET", path, "see")
+async def test_viewer_may_read(client, path, status):
+    got, body, _ = await call_api(client, "GET", path, "see")
     assert got == status
     assert ("error" in body) == (status >= 400)
 
@@ -158,7 +158,7 @@
         (["ticket", "submit", "FILE"], b"wrong", 3, "is missing"),
         (["ticket", "submit", "FILE"], b"give", 4, "only the owner of s1"),
         (["ticket", "submit", "FILE"], b"taken", 5, "other content"),
-        (["ticket", "submit", "FILE"], b"unfit", 7, "come back in 3 s"),
+        (["ticket", "submit", "FILE"], b"unfit", 7, "retry in 3 s"),
         (["ticket", "submit", "FILE"], b"lost", 8, "same ticket again"),
         (["ticket", "submit", "nowhere"], b"", 3, "cannot be read"),
         (["ticket", "show", "6"], b"", 6, "no ticket 6"),
@@ -184,17 +184,17 @@
     assert bool(output.out) == (code == ExitCode.DONE)
 
 
-async def test_an_answer_that_never_comes_leaves_the_outcome_unknown(tmp_path):
-    """The node takes the ticket in and the connection ends before the answer.
+async def test_lost_response_is_an_unknown_outcome(tmp_path):
+    """The connection ends after the ticket is sent and before the response.
 
-    The operator must not read this as a failure: the ticket may be recorded.
+    The command must not report a failure: the ticket may be recorded.
     """
 
-    async def cut(reader, writer):
+    async def close_without_response(reader, writer):
         await reader.read(65536)
         writer.close()
 
-    server = await asyncio.start_server(cut, "127.0.0.1", 0)
+    server = await asyncio.start_server(close_without_response, "127.0.0.1", 0)
     url = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
     file = tmp_path / "file"
     file.write_text("ops")
