--- a/tests/product/certificates.py
+++ b/tests/product/certificates.py
@@ -1,4 +1,4 @@
-"""Make keys and certificates for tests."""
+"""Create keys and certificates for tests."""
 
 import datetime
 import ipaddress
@@ -13,18 +13,18 @@
 ADDRESS = x509.IPAddress(ipaddress.ip_address("127.0.0.1"))
 
 
-def name_of(text):
+def distinguished_name(text):
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
 
 def make(name, authority=None):
-    """Return a key and a certificate, signed by itself or by an authority."""
+    """Return a key and a certificate, self-signed or signed by a CA."""
     key = ec.generate_private_key(ec.SECP256R1())
     issuer_key, issuer = authority or (key, None)
     certificate = (
         x509.CertificateBuilder()
-        .subject_name(name_of(name))
-        .issuer_name(issuer.subject if issuer else name_of(name))
+        .subject_name(distinguished_name(name))
+        .issuer_name(issuer.subject if issuer else distinguished_name(name))
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
         .not_valid_before(START)
--- a/tests/product/test_audit.py
+++ b/tests/product/test_audit.py
@@ -12,10 +12,10 @@
 class FakePlatform:
     def __init__(self):
         self.tables = {"tickets": [], "audit": []}
-        self.loses_answers = False
+        self.loses_responses = False
 
     async def put(self, table, key, value, expected_version, deadline_ms):
-        if self.loses_answers:
+        if self.loses_responses:
             raise PlatformUnknownError("lost")
         self.tables[table].append(Row(key, 1, value))
 
@@ -23,24 +23,24 @@
         return [row for row in self.tables[table] if row.key > after_key][:limit]
 
 
-def ticket_of(number):
+def make_ticket(number):
     entry = {"rate_per_s": float(number), "burst": 1}
     fields = {"number": number, "author": "ops", "reason": "r"}
     return parse_ticket({**fields, "customers": {"c1": entry}}, "test")
 
 
-async def test_no_change_is_missing_from_the_trail():
-    """The node that took a ticket is lost before it wrote the audit entry.
+async def test_audit_trail_includes_tickets_without_an_audit_entry():
+    """A node records a ticket and is lost before it writes the audit entry.
 
-    The change is in force all the same, and an operator must find it.
+    The change is in force nevertheless, and operators must find it in the trail.
     """
     platform = FakePlatform()
     trail = AuditTrail(platform, 1_000)
     for number in (1, 2, 3):
-        ticket = ticket_of(number)
+        ticket = make_ticket(number)
         row = Row(f"{number:012d}", 1, encode_ticket(ticket))
         platform.tables["tickets"].append(row)
-        platform.loses_answers = number == 2
+        platform.loses_responses = number == 2
         await trail.write(ticket, OPS, {"customers": {"c1": None}}, 5.0)
 
     entries = await trail.read(0, 10, lambda number: number < 3)
--- a/tests/product/test_caller_server.py
+++ b/tests/product/test_caller_server.py
@@ -28,9 +28,9 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(content)
     async with asyncio.timeout(10):
-        answer = await reader.read()
+        response = await reader.read()
     writer.close()
-    return answer
+    return response
 
 
 @pytest.mark.parametrize(
@@ -43,22 +43,24 @@
         (b"GET /bug HTTP/1.1\r\nHost: h\r\n\r\n", b"500", b"unknown"),
     ],
 )
-async def test_what_is_no_request_gets_its_outcome(port, content, status, outcome):
-    answer = await send(port, content)
-    assert answer.split()[1] == status
-    assert b"Crocusspindle-Outcome: " + outcome in answer
-    assert b"secret detail" not in answer
+async def test_invalid_or_failing_request_has_an_outcome(
+    port, content, status, outcome
+):
+    response = await send(port, content)
+    assert response.split()[1] == status
+    assert b"Crocusspindle-Outcome: " + outcome in response
+    assert b"secret detail" not in response
 
 
-async def test_half_a_header_does_not_hold_a_connection(port):
-    """Somebody opens connections and never ends the header of a request.
+async def test_incomplete_header_times_out(port):
+    """A client opens connections and never completes a request's header.
 
-    Each would be held for ever, until callers with work are turned away.
+    Without a timeout they stay open until other callers are refused.
     """
     assert await send(port, b"GET / HTTP/1.1\r\nHost:") == b""
 
 
-async def test_a_kept_connection_outlives_the_wait_for_the_first_request(port):
+async def test_keep_alive_connection_outlives_the_header_timeout(port):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for _ in range(2):
         writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/tests/product/test_calling.py
+++ b/tests/product/test_calling.py
@@ -1,4 +1,4 @@
-"""Send each request of a test's caller once."""
+"""Tests that the session of test callers sends each request once."""
 
 import asyncio
 
@@ -8,17 +8,17 @@
 from crocusspindle_standins.calling import calling_session
 
 
-async def test_a_broken_kept_connection_is_reported_and_not_tried_again():
-    """A node is killed while a GET is under way on a connection that was used before.
+async def test_broken_keep_alive_connection_is_reported_and_not_retried():
+    """A node is killed during a GET on a reused connection.
 
-    A caller that sends again without knowing counts one request where two ran.
+    A caller whose library retries silently counts one request where two ran.
     """
-    seen = []
+    received = []
 
     async def serve(reader, writer):
-        for answer in (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b""):
-            seen.append(await reader.readuntil(b"\r\n\r\n"))
-            writer.write(answer)
+        for response_bytes in (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b""):
+            received.append(await reader.readuntil(b"\r\n\r\n"))
+            writer.write(response_bytes)
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -29,4 +29,4 @@
             assert response.status == 200
         with pytest.raises(aiohttp.ClientError):
             await session.get(url)
-        assert len(seen) == 2
+        assert len(received) == 2
--- a/tests/product/test_docs.py
+++ b/tests/product/test_docs.py
@@ -29,7 +29,7 @@
     assert page == PAGES[name](), "run scripts/docs"
 
 
-def test_every_metric_is_filled():
+def test_every_metric_is_recorded():
     names = {**vars(instruments), **vars(gateway_instruments)}
     sources = [file.read_text() for file in ROOT.glob("src/crocusspindle/**/*.py")]
     for instrument in node_instruments():
@@ -37,7 +37,7 @@
         assert any(f"instruments.{name}" in source for source in sources), name
 
 
-def test_every_setting_has_an_effect():
+def test_every_setting_is_used():
     sources = "".join(
         file.read_text()
         for file in ROOT.glob("src/crocusspindle/**/*.py")
@@ -49,11 +49,11 @@
 
 
 @pytest.mark.parametrize("doc", DOCS, ids=lambda doc: str(doc.relative_to(ROOT)))
-def test_what_docs_name_exists(doc):
+def test_names_in_docs_exist(doc):
     text = doc.read_text(encoding="utf-8")
     metrics = {instrument.exported_name for instrument in node_instruments()}
-    named = set(re.findall(r"\bcrocusspindle_(?!standins)[a-z_]+\b", text))
-    assert named <= metrics
+    names = set(re.findall(r"\bcrocusspindle_(?!standins)[a-z_]+\b", text))
+    assert names <= metrics
     keys = set(re.findall(rf"`((?:{SECTIONS})\.[a-z_.]+)`", text))
     assert keys <= SETTINGS_KEYS | {key.replace("[]", "") for key in SETTINGS_KEYS}
     for link in re.findall(r"\]\(([^)#:]+)\)", text):
@@ -63,7 +63,7 @@
 
 
 def commands_in(text):
-    """Return the command lines of a page, placeholders filled in."""
+    """Return the command lines of a page, split into words."""
     text = text.replace("\\\n", " ")
     pattern = r"(?:^ *|scripts/|`)crocusspindle ([a-z][^`\n;&|]*)"
     found = re.findall(pattern, text, re.MULTILINE)
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("doc", DOCS, ids=lambda doc: str(doc.relative_to(ROOT)))
 def test_commands_in_docs_are_accepted(doc, monkeypatch):
-    # What each command would do is tested elsewhere; here its line must be right.
+    # Other tests cover what the commands do; here only the command line is parsed.
     monkeypatch.setattr(cli, "_perform", lambda action: ExitCode.DONE)
     for words in commands_in(doc.read_text(encoding="utf-8")):
         given = [PLACEHOLDERS.get(word, word) for word in words]
@@ -80,7 +80,7 @@
         assert cli.run(given) == ExitCode.DONE, words
 
 
-def test_yaml_in_docs_is_yaml():
+def test_yaml_in_docs_is_valid():
     for doc in DOCS:
         for block in re.findall(r"```yaml\n(.*?)```", doc.read_text(), re.DOTALL):
             assert isinstance(yaml.safe_load(block), dict), doc
--- a/tests/product/test_logs_metrics.py
+++ b/tests/product/test_logs_metrics.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("style", list(LogFormat))
-def test_a_key_never_reaches_the_log(style):
+def test_keys_are_redacted_in_logs(style):
     stream = io.StringIO()
     setup = set_up_logs(LogSettings(format=style), stream)
     log_state_change(
@@ -63,7 +63,7 @@
         assert fields["message"] == f"refused Bearer {REDACTED}"
 
 
-async def test_labels_stay_bounded_and_the_endpoint_serves_them():
+async def test_label_values_are_bounded_in_scrapes():
     metrics = Metrics("a1", "d1", label_values_max=2)
     for customer in ("c1", "c2", "c3", "c4", "c1"):
         metrics.add(SEEN, customer=customer)
@@ -80,7 +80,7 @@
     assert 'crocusspindle_test_wait_ms_bucket{le="5"} 1.0' in text
 
 
-def test_an_instrument_is_declared_once():
+def test_duplicate_declaration_is_rejected():
     assert declared()["test_seen"] is SEEN
     with pytest.raises(ValueError, match="twice"):
         declare("test_seen", InstrumentKind.GAUGE, unit="", meaning="", when_rising="")
--- a/tests/product/test_losses.py
+++ b/tests/product/test_losses.py
@@ -13,7 +13,7 @@
     return json.dumps({**entry, "route": "pay", "kind": "unsafe", **fields})
 
 
-def test_losses_are_sorted_by_reason_and_moment():
+def test_losses_are_counted_by_reason_and_second():
     lines = [
         line(10, "request ended", outcome="200", took_ms=120, aim_ms=600),
         line(12, "request ended", outcome="200", took_ms=720, aim_ms=600),
@@ -37,16 +37,16 @@
         Loss("pay", "unsafe", "500", "target's own error"): 1,
         Loss("pay", "unsafe", "caller left", "caller left"): 1,
     }
-    heaviest = report.table()["lost"][0]
-    assert heaviest["number"] == 2 and heaviest["at_s"] == {3: 2}
+    most_frequent = report.table()["lost"][0]
+    assert most_frequent["number"] == 2 and most_frequent["at_s"] == {3: 2}
 
 
-def test_logs_without_requests_are_an_error_that_says_so():
+def test_logs_without_requests_are_an_error():
     with pytest.raises(InvalidInputError, match="no line of a request"):
         read(["nothing", line(1, "started")])
 
 
-def test_the_command_reads_files_and_names_the_one_that_is_missing(tmp_path, capsys):
+def test_losses_command_reads_files_and_reports_a_missing_one(tmp_path, capsys):
     log = tmp_path / "node.log"
     log.write_text(line(1, "request refused", outcome="503", reason="full"))
     assert cli.run(["--output", "json", "losses", str(log)]) == ExitCode.DONE
--- a/tests/product/test_settings.py
+++ b/tests/product/test_settings.py
@@ -5,7 +5,7 @@
 from crocusspindle.settings import check_settings, fleet_key, load_settings
 from crocusspindle.settings_schema import FleetSettings
 
-GOOD = """\
+VALID_SETTINGS = """\
 node: {name: a1, domain: d1}
 caller: {host: 127.0.0.1, port: 0}
 peer: {host: 127.0.0.1, port: 0}
@@ -20,7 +20,7 @@
 
 
 def test_defaults_and_platform_options():
-    settings = check_settings(GOOD, "a.yaml")
+    settings = check_settings(VALID_SETTINGS, "a.yaml")
     assert settings.timings.freshness_ms == 4_000
     assert settings.limits.pollers_per_domain == 3
     assert settings.platform.options == {"url": "http://127.0.0.1:1"}
@@ -28,15 +28,15 @@
         settings.node.name = "b"
 
 
-def test_all_findings_come_together_with_their_lines():
-    text = GOOD.replace("role: operator", "role: boss").replace(
+def test_all_findings_are_reported_with_their_lines():
+    text = VALID_SETTINGS.replace("role: operator", "role: boss").replace(
         "port: 0}\npeer", "prot: 0}\npeer"
     )
     text += "timings: {poll_ms: 3000}\nextra: 1\nextra: 2\n"
     with pytest.raises(SettingsError) as error:
         check_settings(text, "a.yaml")
-    places = [(finding.line, finding.path) for finding in error.value.findings]
-    assert places == [
+    locations = [(finding.line, finding.path) for finding in error.value.findings]
+    assert locations == [
         (2, "caller.port"),
         (2, "caller.prot"),
         (8, "operator.principals[0].role"),
@@ -48,12 +48,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "- a", "a: [", "1: 2", "a: !!python/name:os.x"])
-def test_what_is_no_mapping_is_refused(text):
+def test_non_mapping_is_rejected(text):
     with pytest.raises(SettingsError):
         check_settings(text, "a.yaml")
 
 
-def test_a_file_that_is_missing_is_a_finding(tmp_path):
+def test_missing_file_is_a_finding(tmp_path):
     with pytest.raises(SettingsError, match="cannot be read"):
         load_settings(tmp_path / "none.yaml")
 
@@ -66,8 +66,8 @@
         ('{adapter: http, url: "http://h", urll: x}', "platform.urll"),
     ],
 )
-def test_options_of_the_platform_are_checked(platform, path):
-    lines = [*GOOD.splitlines()[:-1], f"platform: {platform}"]
+def test_platform_options_are_validated(platform, path):
+    lines = [*VALID_SETTINGS.splitlines()[:-1], f"platform: {platform}"]
     with pytest.raises(SettingsError) as error:
         platform_adapter(check_settings("\n".join(lines), "a.yaml"))
     assert [finding.path for finding in error.value.findings] == [path]
--- a/tests/product/test_tls.py
+++ b/tests/product/test_tls.py
@@ -18,8 +18,8 @@
     return pair
 
 
-async def shown(port, context):
-    """Return the name that a server shows in a new handshake."""
+async def handshake_name(port, context):
+    """Return the common name that a server presents in a new handshake."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, ssl=context)
     der = writer.get_extra_info("ssl_object").getpeercert(binary_form=True)
     assert await reader.read(2) == b"ok"
@@ -29,45 +29,45 @@
 
 
 async def serve(context):
-    async def answer(reader, writer):
+    async def respond(reader, writer):
         writer.write(b"ok")
         writer.close()
 
-    server = await asyncio.start_server(answer, "127.0.0.1", 0, ssl=context)
+    server = await asyncio.start_server(respond, "127.0.0.1", 0, ssl=context)
     return server, server.sockets[0].getsockname()[1]
 
 
-async def test_new_certificate_is_shown_without_restart(tmp_path):
-    """An operator puts a new certificate and then its key in place of the old.
+async def test_new_certificate_is_used_without_restart(tmp_path):
+    """An operator replaces a certificate and then its key.
 
-    In between the two do not match. Callers must see the old certificate until
-    both are there, then the new one, and no handshake may fail.
+    In between, the two do not match. Handshakes must use the old certificate until
+    both files are replaced, then the new one, and none may fail.
     """
     files = write(tmp_path, make("old"))
     watched = server_context(TlsSettings(certificate_file=files[0], key_file=files[1]))
     reloader = CertificateReloader([watched])
-    anyone = ssl.create_default_context()
-    anyone.check_hostname, anyone.verify_mode = False, ssl.CERT_NONE
+    unverified = ssl.create_default_context()
+    unverified.check_hostname, unverified.verify_mode = False, ssl.CERT_NONE
     server, port = await serve(watched.context)
-    assert await shown(port, anyone) == "old"
+    assert await handshake_name(port, unverified) == "old"
 
     (tmp_path / "later").mkdir()
     new_files = write(tmp_path / "later", make("new"))
     new_files[0].rename(files[0])
     reloader.reload_changed()
-    assert await shown(port, anyone) == "old"
+    assert await handshake_name(port, unverified) == "old"
 
     new_files[1].rename(files[1])
     reloader.reload_changed()
-    assert await shown(port, anyone) == "new"
+    assert await handshake_name(port, unverified) == "new"
     assert not watched.changed()
     server.close()
 
 
-async def test_peers_must_be_of_the_fleet(tmp_path, authority):
-    """A stranger who reaches the peer port has a certificate of its own making.
+async def test_peer_port_rejects_certificates_of_other_cas(tmp_path, authority):
+    """A client that is not a node connects to the peer port with its own certificate.
 
-    Served, it could hand in requests past all keys and rates.
+    If served, it could submit requests that bypass all keys and rates.
     """
 
     def settings(stem, pair):
@@ -81,14 +81,14 @@
     node = settings("a1", make("a1", authority))
     server, port = await serve(server_context(node).context)
     peer = settings("a2", make("a2", authority))
-    assert await shown(port, peer_client_context(peer).context) == "a1"
-    stranger = settings("b1", make("b1"))
+    assert await handshake_name(port, peer_client_context(peer).context) == "a1"
+    outsider = settings("b1", make("b1"))
     with pytest.raises((ssl.SSLError, ConnectionError, AssertionError)):
-        await shown(port, peer_client_context(stranger).context)
+        await handshake_name(port, peer_client_context(outsider).context)
     server.close()
 
 
-def test_files_that_do_not_match_are_a_finding(tmp_path):
+def test_mismatched_certificate_and_key_are_a_finding(tmp_path):
     certificate_file, _ = write(tmp_path, make("a"))
     _, key_file = write(tmp_path, make("b"), "other")
     with pytest.raises(SettingsError, match="tls"):
--- a/tests/product/test_tls_fleet.py
+++ b/tests/product/test_tls_fleet.py
@@ -14,21 +14,21 @@
 from crocusspindle_standins.processes import free_ports
 from tests.product.certificates import make, write
 
-SETTLE_S = 30
+CONVERGENCE_TIMEOUT_S = 30
 KEY = "operator-key-of-the-test"
 
 
-def settings_of(name, ports, files, platform):
+def make_settings(name, ports, files, platform):
     caller, peer, operator = ports
     pair = {"certificate_file": str(files[0]), "key_file": str(files[1])}
     digest = hashlib.sha256(KEY.encode()).hexdigest()
-    one = {"name": "ops", "role": "operator", "key_sha256": digest}
+    principal = {"name": "ops", "role": "operator", "key_sha256": digest}
     local = {"host": "127.0.0.1"}
     content = {
         "node": {"name": name, "domain": name},
         "caller": {**local, "port": caller, "tls": pair},
         "peer": {**local, "port": peer, "tls": {**pair, "ca_file": str(files[2])}},
-        "operator": {**local, "port": operator, "tls": pair, "principals": [one]},
+        "operator": {**local, "port": operator, "tls": pair, "principals": [principal]},
         "fleet": {"name": "test", "key_file": str(files[3])},
         "platform": {"url": str(platform.make_url("/"))},
     }
@@ -37,7 +37,7 @@
 
 @contextlib.asynccontextmanager
 async def two_nodes(folder):
-    """Run two nodes under one authority; yield one's settings and the CA file."""
+    """Run two nodes with one CA; yield the first one's settings and the CA file."""
     authority = make("authority")
     ca_file, _ = write(folder, authority, "ca")
     key_file = folder / "fleet.key"
@@ -45,10 +45,10 @@
     ports = free_ports(6)
     async with TestServer(PlatformServer().app()) as platform:
         settings, kernels = [], []
-        for name, chosen in (("a1", ports[:3]), ("b1", ports[3:])):
-            files = write(folder, make(name, authority), name)
-            parts = (*files, ca_file, key_file)
-            settings.append(settings_of(name, chosen, parts, platform))
+        for name, node_ports in (("a1", ports[:3]), ("b1", ports[3:])):
+            pair = write(folder, make(name, authority), name)
+            files = (*pair, ca_file, key_file)
+            settings.append(make_settings(name, node_ports, files, platform))
             kernels.append(build(settings[-1]))
         try:
             for kernel in kernels:
@@ -60,11 +60,11 @@
 
 
 @pytest.mark.parametrize("trusted", [True, False])
-async def test_nodes_and_operators_meet_over_tls(tmp_path, capfd, trusted):
-    """Every port shows a certificate, and nodes show theirs to each other.
+async def test_nodes_and_operators_connect_over_tls(tmp_path, capfd, trusted):
+    """All ports use TLS, and nodes authenticate to each other.
 
-    An operator whose computer does not trust the authority must get no further
-    than the handshake: the key would go to whoever listens there.
+    A client that doesn't trust the CA must fail in the handshake: otherwise it would
+    send the operator key to an unverified server.
     """
     operator_key = tmp_path / "ops.key"
     operator_key.write_text(KEY)
@@ -77,7 +77,7 @@
             assert "certificate" in capfd.readouterr().err
             return
         members = []
-        async with asyncio.timeout(SETTLE_S):
+        async with asyncio.timeout(CONVERGENCE_TIMEOUT_S):
             while [member["fit"] for member in members] != [True, True]:
                 trusting = [*words, "--ca_file", str(ca_file)]
                 assert await asyncio.to_thread(cli.run, trusting) == ExitCode.DONE
--- a/tests/product/test_unpack.py
+++ b/tests/product/test_unpack.py
@@ -20,7 +20,7 @@
     assert settings_file(line.split()) == file
 
 
-def test_folder_comes_from_environment_or_settings(tmp_path):
+def test_unpack_folder_from_environment_or_settings(tmp_path):
     file = tmp_path / "a.yaml"
     file.write_text("node: {}\n")
     arguments = ["node", str(file)]
@@ -32,10 +32,10 @@
     assert str(unpack_folder(arguments, {})) == "/m"
 
 
-def test_a_killed_start_leaves_nothing_that_a_later_one_trusts(tmp_path):
+def test_interrupted_unpacking_leaves_no_folder(tmp_path):
     """A node is killed, or its folder is full, while it unpacks.
 
-    The next start must unpack everything again, not load half of it.
+    The next start must unpack everything again, not load an incomplete folder.
     """
     archive, folder = tmp_path / "bundle", tmp_path / "memory"
     with zipfile.ZipFile(archive, "w") as bundle:
@@ -48,10 +48,10 @@
 
     with zipfile.ZipFile(archive, "a") as bundle:
         bundle.writestr("missing.so", "y")
-    home = unpack(archive, folder)
-    assert {file.name for file in home.iterdir()} == {"a.so", "missing.so"}
-    assert unpack(archive, folder) == home
+    unpacked = unpack(archive, folder)
+    assert {file.name for file in unpacked.iterdir()} == {"a.so", "missing.so"}
+    assert unpack(archive, folder) == unpacked
 
-    home.chmod(0o777)
+    unpacked.chmod(0o777)
     with pytest.raises(UnpackError, match="changed by others"):
         unpack(archive, folder)
