--- a/src/crocusspindle/__main__.py
+++ b/src/crocusspindle/__main__.py
@@ -8,7 +8,7 @@
 
 
 def main() -> None:
-    """Run the command that the command line names."""
+    """Run the command given on the command line."""
     from crocusspindle import cli  # noqa: PLC0415 - after the variable is set
 
     sys.exit(cli.run())
--- a/src/crocusspindle/cli.py
+++ b/src/crocusspindle/cli.py
@@ -1,7 +1,7 @@
-"""Offer the commands of crocusspindle.
+"""Define the command line of crocusspindle.
 
-Only ``node`` and ``check-settings`` import packages with native parts, so that the
-others run from the binary without unpacking anything.
+Only ``node`` and ``check-settings`` import packages with native parts, so the other
+commands run from the binary without unpacking.
 """
 
 import asyncio
--- a/src/crocusspindle/docs_reference.py
+++ b/src/crocusspindle/docs_reference.py
@@ -90,11 +90,11 @@
     """
     names = {**vars(instruments), **vars(gateway_instruments)}
     known = list(declared().values())
-    found: list[Instrument] = []
+    ordered: list[Instrument] = []
     for value in names.values():
-        if value in known and value not in found:
-            found.append(value)
-    return found
+        if value in known and value not in ordered:
+            ordered.append(value)
+    return ordered
 
 
 def _page(lines: list[str], rows: Iterable[str]) -> str:
@@ -121,8 +121,8 @@
     if inspect.isclass(annotation) and issubclass(annotation, BaseModel):
         return annotation, False
     is_list = get_origin(annotation) is tuple
-    for part in get_args(annotation):
-        section, _ = _section_of(part)
+    for argument in get_args(annotation):
+        section, _ = _section_of(argument)
         if section is not None:
             return section, is_list
     return None, is_list
@@ -136,8 +136,10 @@
     if inspect.isclass(annotation) and issubclass(annotation, Enum):
         return " or ".join(f"`{item.value}`" for item in annotation)
     if get_origin(annotation) in (Union, UnionType):
-        parts = [part for part in get_args(annotation) if part is not NoneType]
-        return " or ".join(_type_name(part) for part in parts)
+        members = [
+            argument for argument in get_args(annotation) if argument is not NoneType
+        ]
+        return " or ".join(_type_name(argument) for argument in members)
     if get_origin(annotation) is tuple:
         return _type_name(get_args(annotation)[0])
     return TYPE_NAMES[annotation]
--- a/src/crocusspindle/kernel.py
+++ b/src/crocusspindle/kernel.py
@@ -1,4 +1,4 @@
-"""Start, find, drain and stop the services of one node by name."""
+"""Start, look up, drain and stop the named services of one node."""
 
 import asyncio
 import signal
@@ -183,7 +183,7 @@
         return failures
 
     def _service_failed(self, name: str, error: BaseException) -> None:
-        # A node that goes on without a failed task looks alive and serves nothing;
+        # A node that continues without a failed task looks alive and serves nothing;
         # once the process ends, the fleet detects a lost member.
         log_state_change(self._log, "service failed", service=name, error=repr(error))
         if self._failure is None:
--- a/src/crocusspindle/losses.py
+++ b/src/crocusspindle/losses.py
@@ -76,7 +76,7 @@
     Raise ``InvalidInputError`` if no line describes a request.
     """
     report = LossReport()
-    found: list[tuple[float, dict[str, Any]]] = []
+    timed_entries: list[tuple[float, dict[str, Any]]] = []
     for line in lines:
         json_start = line.find("{")
         if json_start < 0:
@@ -84,14 +84,14 @@
         try:
             entry = json.loads(line[json_start:])
             if entry["message"] in (ENDED, REFUSED):
-                found.append((_unix_s(entry), entry))
+                timed_entries.append((_unix_s(entry), entry))
         except (ValueError, KeyError, TypeError):
             report.unread += 1
-    if not found:
+    if not timed_entries:
         message = "holds no line of a request that ended or was refused"
         raise InvalidInputError([Finding("logs", ".", message)])
-    first_s = min(at_s for at_s, _ in found)
-    for at_s, entry in found:
+    first_s = min(at_s for at_s, _ in timed_entries)
+    for at_s, entry in timed_entries:
         _count(report, entry, int(at_s - first_s))
     return report
 
--- a/src/crocusspindle/operator_client.py
+++ b/src/crocusspindle/operator_client.py
@@ -75,7 +75,7 @@
 async def call(
     endpoint: Endpoint, method: str, path: str, body: bytes | None = None
 ) -> dict[str, Any]:
-    """Make one call; raise ``CommandError`` unless it succeeds."""
+    """Call an endpoint; raise ``CommandError`` unless the call succeeds."""
     timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S, connect=CONNECT_TIMEOUT_S)
     headers = {"Authorization": f"Bearer {endpoint.key}"}
     try:
