--- a/src/crocusspindle/services/caller_response.py
+++ b/src/crocusspindle/services/caller_response.py
@@ -1,4 +1,4 @@
-"""Send answers to callers, whole or visibly cut, and keep those of operations."""
+"""Relay responses, complete or visibly truncated, and record those of operations."""
 
 import hashlib
 from collections.abc import Awaitable
@@ -7,92 +7,95 @@
 
 from crocusspindle.core.operation_records import StoredResponse
 from crocusspindle.services import words
-from crocusspindle.services.hand_over import HomeAnswer
+from crocusspindle.services.hand_over import CoordinatorResponse
 from crocusspindle.services.peers import PEER_FAILURES
 from crocusspindle.services.targets import REQUEST_ID
 from crocusspindle.services.words import RefusedError
 
-OWN_HEADERS = frozenset({REQUEST_ID.lower(), words.OUTCOME.lower()})
+FLEET_HEADERS = frozenset({REQUEST_ID.lower(), words.OUTCOME.lower()})
 
 
-class KeptParts:
-    """Keep a copy of an answer while it passes, up to a bound."""
+class ResponseRecorder:
+    """Keep a copy of a response while it is relayed, up to a size limit."""
 
     def __init__(self, limit_bytes: int) -> None:
         self._limit_bytes = limit_bytes
         self._digest = hashlib.sha256()
         self._body: bytearray | None = bytearray()
 
-    def add(self, part: bytes) -> None:
-        """Take the next part."""
-        self._digest.update(part)
+    def add(self, chunk: bytes) -> None:
+        """Record the next chunk of the body."""
+        self._digest.update(chunk)
         if self._body is None:
             return
-        self._body += part
+        self._body += chunk
         if len(self._body) > self._limit_bytes:
             self._body = None
 
-    def answer(self, found: HomeAnswer) -> StoredResponse:
-        """Return the answer to keep, without its body if that was too long."""
+    def stored_response(self, response: CoordinatorResponse) -> StoredResponse:
+        """Return the response to store, without a body that exceeds the limit."""
         body = None if self._body is None else bytes(self._body)
         return StoredResponse(
-            found.status, self._digest.digest(), tuple(found.headers), body
+            response.status, self._digest.digest(), tuple(response.headers), body
         )
 
 
-async def pass_on(
-    request: web.BaseRequest, name: str, answer: HomeAnswer, kept: KeptParts | None
+async def relay_response(
+    request: web.BaseRequest,
+    request_id: str,
+    coordinator_response: CoordinatorResponse,
+    recorder: ResponseRecorder | None,
 ) -> web.StreamResponse:
-    """Send an answer to its caller; break the connection if it is cut.
+    """Relay a response to its caller; abort the connection if it is truncated.
 
-    A caller who gets the end of a shortened answer takes it for all of it. With a
-    broken connection it knows, whatever length the target had announced.
+    A caller would take a truncated response with a regular end for a complete one. An
+    aborted connection shows the truncation, whatever length the target announced.
 
-    A caller that hung up may repeat a named operation and ask for its answer, so
-    ``kept`` is filled to the end all the same.
+    A caller that disconnects may repeat a named operation to get its response, so
+    ``recorder`` receives the whole body all the same.
     """
-    response = web.StreamResponse(status=answer.status)
-    for header, text in answer.headers:
-        if header.lower() not in OWN_HEADERS:
+    response = web.StreamResponse(status=coordinator_response.status)
+    for header, text in coordinator_response.headers:
+        if header.lower() not in FLEET_HEADERS:
             response.headers.add(header, text)
-    response.headers[REQUEST_ID] = name
-    response.headers[words.OUTCOME] = words.OUTCOME_WORDS[answer.outcome]
-    listens = await _reached(response.prepare(request), kept)
+    response.headers[REQUEST_ID] = request_id
+    response.headers[words.OUTCOME] = words.OUTCOME_TEXTS[coordinator_response.outcome]
+    connected = await _deliver(response.prepare(request), recorder)
     try:
-        async for part in answer.parts():
-            if kept is not None:
-                kept.add(part)
-            if listens:
-                listens = await _reached(response.write(part), kept)
+        async for chunk in coordinator_response.body_chunks():
+            if recorder is not None:
+                recorder.add(chunk)
+            if connected:
+                connected = await _deliver(response.write(chunk), recorder)
     except PEER_FAILURES:
         if request.transport is not None:
             request.transport.abort()
         raise
-    if listens:
-        await _reached(response.write_eof(), kept)
+    if connected:
+        await _deliver(response.write_eof(), recorder)
     return response
 
 
-async def _reached(sending: Awaitable[object], kept: KeptParts | None) -> bool:
-    """Return True if the caller still listens; raise if nothing is kept for it."""
+async def _deliver(write: Awaitable[object], recorder: ResponseRecorder | None) -> bool:
+    """Return True if the caller is connected; raise if not and nothing is recorded."""
     try:
-        await sending
+        await write
     except ConnectionError:
-        if kept is None:
+        if recorder is None:
             raise
         return False
     return True
 
 
-def kept_response(answer: StoredResponse, name: str) -> web.Response:
-    """Return the kept answer of an operation that ran before."""
-    if answer.body is None:
-        raise RefusedError(words.ANSWER_NOT_KEPT)
-    response = web.Response(status=answer.status, body=answer.body)
-    for header, text in answer.headers:
-        if header.lower() not in OWN_HEADERS | {"content-length"}:
+def repeated_response(stored: StoredResponse, request_id: str) -> web.Response:
+    """Return the stored response of an operation that has run."""
+    if stored.body is None:
+        raise RefusedError(words.RESPONSE_NOT_KEPT)
+    response = web.Response(status=stored.status, body=stored.body)
+    for header, text in stored.headers:
+        if header.lower() not in FLEET_HEADERS | {"content-length"}:
             response.headers[header] = text
-    response.headers[REQUEST_ID] = name
+    response.headers[REQUEST_ID] = request_id
     response.headers[words.OUTCOME] = words.RAN
-    response.headers[words.REPEATED] = "true"
+    response.headers[words.REPEATED_RESPONSE] = "true"
     return response
--- a/src/crocusspindle/services/caller_server.py
+++ b/src/crocusspindle/services/caller_server.py
@@ -1,4 +1,4 @@
-"""Take callers' connections, and answer what is no proper request."""
+"""Serve callers' connections, and respond to malformed requests."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,13 +7,13 @@
 from aiohttp import web
 
 from crocusspindle.services import words
-from crocusspindle.services.words import Word
+from crocusspindle.services.words import ErrorResponse
 from crocusspindle.settings_schema import CallerSettings
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 SERVER_ERROR: Final = 500
-DETAIL_MAX: Final = 200
+MAX_DETAIL_CHARS: Final = 200
 
 
 class _CallerProtocol(web.RequestHandler):
@@ -33,10 +33,10 @@
         self._first_request_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the first request, but not for ever.
+        """Limit the wait for the first request's header.
 
-        Who opens connections and sends half a header each would fill the node's
-        connections, and callers with work would be turned away.
+        A client that opens connections and sends incomplete headers would use up the
+        node's connections, so that other callers are refused.
         """
         super().connection_made(transport)
         loop = asyncio.get_running_loop()
@@ -45,12 +45,12 @@
         )
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forget the timer with the connection."""
-        self.request_came()
+        """Cancel the timer of the connection."""
+        self.cancel_first_request_timer()
         super().connection_lost(exc)
 
-    def request_came(self) -> None:
-        """Note that a whole header is here."""
+    def cancel_first_request_timer(self) -> None:
+        """Cancel the timer, since a complete header has arrived."""
         if self._first_request_timer is not None:
             self._first_request_timer.cancel()
             self._first_request_timer = None
@@ -62,24 +62,24 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer a malformed request as all others: with its outcome."""
+        """Respond to a malformed request, with its outcome like any other response."""
         if request.writer.output_size > 0:
-            raise ConnectionError("the answer has begun; its connection breaks")
-        word = words.INTERNAL
+            raise ConnectionError("the response has started; closing its connection")
+        error = words.INTERNAL
         if status < SERVER_ERROR:
-            detail = (message or "the request is malformed")[:DETAIL_MAX]
-            word = Word(status, "malformed", detail)
-        response = word.response("none")
+            detail = (message or "the request is malformed")[:MAX_DETAIL_CHARS]
+            error = ErrorResponse(status, "malformed", detail)
+        response = error.response("none")
         response.force_close()
         return response
 
 
 class CallerServer(web.Server):
-    """Make the protocol of each connection."""
+    """Create the protocol of each connection."""
 
     def __init__(self, handler: Handler, settings: CallerSettings) -> None:
         super().__init__(
-            self._note,
+            self._handle_request,
             handler_cancellation=True,
         )
         self._handler = handler
@@ -89,7 +89,7 @@
         """Return the protocol of a new connection."""
         return _CallerProtocol(self, self._settings)
 
-    async def _note(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         if isinstance(request.protocol, _CallerProtocol):
-            request.protocol.request_came()
+            request.protocol.cancel_first_request_timer()
         return await self._handler(request)
--- a/src/crocusspindle/services/entry.py
+++ b/src/crocusspindle/services/entry.py
@@ -1,4 +1,4 @@
-"""Take callers' requests: who asks, may they, and what became of it."""
+"""Authenticate, admit and run callers' requests, and report their outcome."""
 
 import asyncio
 import itertools
@@ -24,16 +24,16 @@
 from crocusspindle.metrics import Metrics
 from crocusspindle.services import words
 from crocusspindle.services.caller_response import (
-    KeptParts,
-    kept_response,
-    pass_on,
+    ResponseRecorder,
+    relay_response,
+    repeated_response,
 )
 from crocusspindle.services.control import ControlService
 from crocusspindle.services.hand_over import (
     CallerRequest,
-    Handling,
+    CoordinatorResponse,
     HandOverService,
-    HomeAnswer,
+    HandOverState,
 )
 from crocusspindle.services.handed_over import GivenUp
 from crocusspindle.services.operations import (
@@ -44,14 +44,14 @@
 from crocusspindle.services.peers import Peers
 from crocusspindle.services.rates import RatesService
 from crocusspindle.services.targets import CUSTOMER, DEADLINE, REQUEST_ID, forwarded
-from crocusspindle.services.words import RefusedError, Word
+from crocusspindle.services.words import ErrorResponse, RefusedError
 from crocusspindle.settings_schema import NodeSettings
 
 WHERE_PATH: Final = "/.well-known/crocusspindle/where"
-OWN_PATHS: Final = "/.well-known/crocusspindle/"
+OWN_PATH_PREFIX: Final = "/.well-known/crocusspindle/"
 OPERATION_KEY: Final = "Idempotency-Key"
-OPERATION_KEY_MAX: Final = 200
-LONGEST_TIMEOUT_MS: Final = 600_000.0
+MAX_OPERATION_KEY_CHARS: Final = 200
+MAX_TIMEOUT_MS: Final = 600_000.0
 
 PRIVATE_HEADERS: Final = frozenset(
     {
@@ -64,11 +64,12 @@
         REQUEST_ID.lower(),
     }
 )
-"""The caller's key must not reach a target, nor may a caller name another customer."""
+"""Not forwarded: a target must not see the caller's key, nor may a caller set the
+customer, deadline or request id that targets receive."""
 
 
 class EntryService(Service):
-    """Serve the port for callers."""
+    """Serve requests that arrive on the port for callers."""
 
     name = "entry"
     needs = ("control", "peers", "rates", "hand_over", "operations")
@@ -91,42 +92,42 @@
         self._operations = operations
         self._metrics = metrics
         self._logger = Logger("entry")
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._prefix = secrets.token_hex(6)
-        self._named: set[asyncio.Task[web.StreamResponse]] = set()
+        self._named_operations: set[asyncio.Task[web.StreamResponse]] = set()
         self.running = 0
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request of a caller."""
-        name = f"{self._prefix}-{next(self._numbers)}"
-        began_ms = now_ms()
+        """Respond to one request of a caller."""
+        name = f"{self._prefix}-{next(self._request_numbers)}"
+        started_ms = now_ms()
         service, caller = "none", "none"
         self.running += 1
         try:
             customer, credential = self._authenticate(request)
             caller = customer.customer
-            if request.path.startswith(OWN_PATHS):
-                return self._own(request, customer)
+            if request.path.startswith(OWN_PATH_PREFIX):
+                return self._serve_own_path(request, customer)
             route = self._route(request, customer)
             service = route.service
             response = await self._serve(request, name, customer, credential, route)
         except RefusedError as refused:
-            reason = refused.word.reason
+            reason = refused.error_response.reason
             self._metrics.add(instruments.REFUSALS, service=service, reason=reason)
-            response = refused.word.response(name)
+            response = refused.error_response.response(name)
         except Exception as error:
-            # A fault of ours must not leave the caller guessing: what it asked for
-            # may have run.
+            # After an internal error the request may have run, and the response has to
+            # say so.
             log_state_change(self._logger, "request failed", error=repr(error))
             self._logger.debug("request failed", exc_info=True)
             response = words.INTERNAL.response(name)
         finally:
             self.running -= 1
-        self._count(response, service, caller, began_ms)
+        self._record_metrics(response, service, caller, started_ms)
         return response
 
-    def _count(
-        self, response: web.StreamResponse, service: str, caller: str, began_ms: float
+    def _record_metrics(
+        self, response: web.StreamResponse, service: str, caller: str, started_ms: float
     ) -> None:
         outcome = response.headers.get(words.OUTCOME, words.RAN)
         self._metrics.add(instruments.REQUESTS, service=service, outcome=outcome)
@@ -134,7 +135,7 @@
             instruments.CUSTOMER_REQUESTS, customer=caller, outcome=outcome
         )
         self._metrics.record(
-            instruments.REQUEST_MS, now_ms() - began_ms, service=service
+            instruments.REQUEST_MS, now_ms() - started_ms, service=service
         )
 
     def _authenticate(self, request: web.BaseRequest) -> tuple[Customer, bytes]:
@@ -154,10 +155,12 @@
             raise RefusedError(words.NOT_APPROVED)
         return route
 
-    def _own(self, request: web.BaseRequest, customer: Customer) -> web.Response:
+    def _serve_own_path(
+        self, request: web.BaseRequest, customer: Customer
+    ) -> web.Response:
         if request.path != WHERE_PATH:
             raise RefusedError(words.NO_ROUTE)
-        self._check_fit(customer.customer)
+        self._check_eligible(customer.customer)
         addresses = [
             {"address": address, "domain": domain}
             for address, domain in self._addresses(customer)
@@ -169,19 +172,19 @@
         )
 
     def _addresses(self, customer: Customer) -> list[tuple[str, DomainId]]:
-        """Return where a customer's callers go, best first.
+        """Return the addresses for a customer's callers, best first.
 
-        Holders of the customer's shares spend without asking anyone. The rest
-        follow in an order of the customer's own, so that customers spread.
+        Holders of the customer's shares spend tokens without a loan. The other
+        members follow in the customer's rendezvous order, which spreads customers.
         """
         view = self._control.view
         if view is None:
             return []
         key = customer.customer.encode()
-        ranked = [*self._rates.holders(customer), *order(key, view.names)]
+        ranked_ids = [*self._rates.holders(customer), *order(key, view.names)]
         members = [
             member
-            for member_id in dict.fromkeys(ranked)
+            for member_id in dict.fromkeys(ranked_ids)
             if (member := view.find(member_id)) is not None
         ]
         own = view.find(self._control.me.member)
@@ -192,11 +195,11 @@
             return self._control.is_eligible() and not self._control.draining
         return self._peers.usable(member)
 
-    def _check_fit(self, customer: CustomerId) -> None:
+    def _check_eligible(self, customer: CustomerId) -> None:
         if self._control.is_eligible():
             return
-        # Cut off from the fleet, this node may hold withdrawn keys and spent
-        # shares. Its callers learn at once where else to go.
+        # An isolated node may hold withdrawn keys and spent shares. The refusal
+        # names other nodes, so that callers can move at once.
         view = self._control.view
         others = [] if view is None else order(customer.encode(), view.names)
         elsewhere = (
@@ -210,7 +213,7 @@
         )
         detail = "this node is cut off; other addresses: " + ", ".join(elsewhere[:3])
         retry_at_ms = now_ms() + self._settings.timings.heartbeat_ms
-        raise RefusedError(Word(503, "unfit", detail, retry_at_ms=retry_at_ms))
+        raise RefusedError(ErrorResponse(503, "unfit", detail, retry_at_ms=retry_at_ms))
 
     async def _serve(
         self,
@@ -220,10 +223,10 @@
         credential: bytes,
         route: Route,
     ) -> web.StreamResponse:
-        self._check_fit(customer.customer)
+        self._check_eligible(customer.customer)
         deadline_ms = self._deadline_ms(request, route)
-        body, rest = await self._body(request)
-        spent = await self._spend(customer)
+        body, body_rest = await self._read_body(request)
+        spent = await self._spend_token(customer)
         idempotent = request.method in route.idempotent_methods
         service = self._control.directory.service(route.service)
         call = CallerRequest(
@@ -232,86 +235,87 @@
             service=route.service,
             method=request.method,
             path=request.raw_path if hasattr(request, "raw_path") else request.path_qs,
-            headers=_to_target(request),
+            headers=_target_headers(request),
             weight=customer.weight * customer.rate_per_s,
             deadline_ms=deadline_ms,
             idempotent=idempotent,
             may_hedge=idempotent and service is not None and service.hedge,
             credential=credential,
             body=body,
-            rest=rest,
+            body_rest=body_rest,
         )
-        return await self._follow(request, call, spent)
+        return await self._run_detached_if_named(request, call, spent)
 
-    async def _follow(
+    async def _run_detached_if_named(
         self, request: web.BaseRequest, call: CallerRequest, spent: Spent
     ) -> web.StreamResponse:
-        """Run a request, to its end if its caller named the operation.
+        """Run a request; a named operation runs on if its caller disconnects.
 
-        A caller that loses its connection ends what it asked for. Not so a payment:
-        ended half way, it would stay unknown for as long as its key counts, and the
-        caller that repeats it could never learn the answer.
+        A lost connection cancels any other request. A cancelled operation would stay
+        unknown for as long as its key is kept, and a caller that repeats it could
+        never get the response.
         """
         if call.idempotent or OPERATION_KEY not in request.headers:
             return await self._run(request, call, spent)
         task = asyncio.create_task(self._run(request, call, spent))
         self.running += 1
-        self._named.add(task)
-        task.add_done_callback(self._end_named)
+        self._named_operations.add(task)
+        task.add_done_callback(self._end_named_operation)
         return await asyncio.shield(task)
 
-    def _end_named(self, task: asyncio.Task[web.StreamResponse]) -> None:
+    def _end_named_operation(self, task: asyncio.Task[web.StreamResponse]) -> None:
         self.running -= 1
-        self._named.discard(task)
-        # A refusal that nobody waits for any more is no fault to report.
+        self._named_operations.discard(task)
+        # Retrieves the exception, so that asyncio does not report a refusal whose
+        # caller has disconnected.
         if not task.cancelled():
             task.exception()
 
     async def _run(
         self, request: web.BaseRequest, call: CallerRequest, spent: Spent
     ) -> web.StreamResponse:
-        begun = await self._begin(request, call)
+        begun = await self._begin_operation(request, call)
         if isinstance(begun, StoredResponse):
             self._rates.refund(call.customer, spent)
-            return kept_response(begun, call.request)
+            return repeated_response(begun, call.request)
         if isinstance(begun, GivenUp):
             self._rates.refund(call.customer, spent)
-            raise RefusedError(words.given_up_word(begun))
+            raise RefusedError(words.failure_response(begun))
         by_ms = None if begun is None else begun.dispatch_by_ms
-        handling = Handling(call, dispatch_by_ms=by_ms)
+        state = HandOverState(call, dispatch_by_ms=by_ms)
         try:
-            found = await self._hand_over.run(handling)
-            if not isinstance(found, GivenUp):
-                return await self._answer(request, call, found, begun)
-            if found.outcome is Outcome.NOT_RUN:
+            result = await self._hand_over.run(state)
+            if not isinstance(result, GivenUp):
+                return await self._respond(request, call, result, begun)
+            if result.outcome is Outcome.NOT_RUN:
                 self._rates.refund(call.customer, spent)
                 if begun is not None:
                     self._operations.released(begun)
-            raise RefusedError(words.given_up_word(found))
+            raise RefusedError(words.failure_response(result))
         finally:
-            await handling.close()
+            await state.close()
 
-    async def _answer(
+    async def _respond(
         self,
         request: web.BaseRequest,
         call: CallerRequest,
-        found: HomeAnswer,
+        result: CoordinatorResponse,
         begun: Begun | None,
     ) -> web.StreamResponse:
         if begun is None:
-            return await pass_on(request, call.request, found, None)
-        kept = KeptParts(self._settings.limits.answer_kept_bytes)
-        response = await pass_on(request, call.request, found, kept)
-        self._operations.finished(begun, kept.answer(found))
+            return await relay_response(request, call.request, result, None)
+        recorder = ResponseRecorder(self._settings.limits.answer_kept_bytes)
+        response = await relay_response(request, call.request, result, recorder)
+        self._operations.finished(begun, recorder.stored_response(result))
         return response
 
-    async def _begin(
+    async def _begin_operation(
         self, request: web.BaseRequest, call: CallerRequest
     ) -> Begun | StoredResponse | GivenUp | None:
         key = request.headers.get(OPERATION_KEY)
         if call.idempotent or key is None:
             return None
-        if not 0 < len(key) <= OPERATION_KEY_MAX or not key.isprintable():
+        if not 0 < len(key) <= MAX_OPERATION_KEY_CHARS or not key.isprintable():
             raise RefusedError(words.BAD_OPERATION_KEY)
         name = OperationName(call.customer, OperationKey(key))
         return await self._operations.begin(
@@ -320,62 +324,62 @@
 
     def _deadline_ms(self, request: web.BaseRequest, route: Route) -> float:
         service = self._control.directory.service(route.service)
-        longest_ms = LONGEST_TIMEOUT_MS if service is None else service.timeout_ms
+        max_ms = MAX_TIMEOUT_MS if service is None else service.timeout_ms
         text = request.headers.get(DEADLINE)
         if text is None:
-            return now_ms() + longest_ms
+            return now_ms() + max_ms
         try:
-            asked_ms = float(text)
+            requested_ms = float(text)
         except ValueError:
             raise RefusedError(words.BAD_TIMEOUT) from None
-        if not 0 < asked_ms < float("inf"):
+        if not 0 < requested_ms < float("inf"):
             raise RefusedError(words.BAD_TIMEOUT)
-        return now_ms() + min(asked_ms, longest_ms)
+        return now_ms() + min(requested_ms, max_ms)
 
-    async def _body(
+    async def _read_body(
         self, request: web.BaseRequest
     ) -> tuple[bytes, AsyncIterator[bytes] | None]:
-        """Return the body's first part, and the rest if it is longer.
+        """Return the start of the body, and an iterator over the rest of a longer one.
 
-        A short body is here before the request is queued, so that a slow sender
-        holds no slot and the request can be repeated.
+        A short body is read completely before the request is queued, so that a slow
+        sender holds no slot and the request can be retried.
         """
         if not request.body_exists:
             return b"", None
         limit = self._settings.caller.body_buffer_bytes
-        first = bytearray()
-        while len(first) < limit:
-            part = await self._part(request)
-            if not part:
-                return bytes(first), None
-            first += part
-        return bytes(first), self._rest(request)
-
-    async def _rest(self, request: web.BaseRequest) -> AsyncIterator[bytes]:
-        while part := await self._part(request):
-            yield part
-
-    async def _part(self, request: web.BaseRequest) -> bytes:
+        body_start = bytearray()
+        while len(body_start) < limit:
+            chunk = await self._read_chunk(request)
+            if not chunk:
+                return bytes(body_start), None
+            body_start += chunk
+        return bytes(body_start), self._read_rest(request)
+
+    async def _read_rest(self, request: web.BaseRequest) -> AsyncIterator[bytes]:
+        while chunk := await self._read_chunk(request):
+            yield chunk
+
+    async def _read_chunk(self, request: web.BaseRequest) -> bytes:
         try:
             async with asyncio.timeout(self._settings.caller.slow_sender_ms / 1e3):
                 return await request.content.readany()
         except TimeoutError:
             raise RefusedError(words.SLOW_SENDER) from None
         except (ClientError, HttpProcessingError, ConnectionError):
-            raise RefusedError(words.CUT_SENDER) from None
+            raise RefusedError(words.TRUNCATED_BODY) from None
 
-    async def _spend(self, customer: Customer) -> Spent:
+    async def _spend_token(self, customer: Customer) -> Spent:
         result = await self._rates.spend(customer.customer)
         if isinstance(result, Spent):
             return result
         if isinstance(result, Ineligible):
-            self._check_fit(customer.customer)
+            self._check_eligible(customer.customer)
         retry_at_ms = now_ms() + self._settings.timings.heartbeat_ms
         if isinstance(result, OverRate):
             retry_at_ms = result.retry_at_ms
             self._metrics.add(instruments.SHARE_REFUSALS, customer=customer.customer)
         raise RefusedError(
-            Word(
+            ErrorResponse(
                 429,
                 "rate",
                 f"over the rate of {customer.rate_per_s:g}/s, burst {customer.burst}",
@@ -384,7 +388,7 @@
         )
 
 
-def _to_target(request: web.BaseRequest) -> list[tuple[str, str]]:
+def _target_headers(request: web.BaseRequest) -> list[tuple[str, str]]:
     return [
         (name, text)
         for name, text in forwarded(request.headers)
--- a/src/crocusspindle/services/gauges.py
+++ b/src/crocusspindle/services/gauges.py
@@ -1,4 +1,4 @@
-"""Show how a node stands at each scrape."""
+"""Export a node's state as gauges, read at each scrape."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
@@ -11,17 +11,17 @@
 from crocusspindle.services.home import HomeService
 from crocusspindle.services.peers import Peers
 
-Reading = Iterable[tuple[float, Mapping[str, str]]]
+Measurements = Iterable[tuple[float, Mapping[str, str]]]
 
 
 def watch_node(
     metrics: Metrics,
     control: ControlService,
     peers: Peers,
-    home: HomeService,
+    coordinator: HomeService,
     connections: Callable[[], int],
 ) -> None:
-    """Read the node's gauges from its services at each scrape."""
+    """Register the node's gauges, which are read from its services at each scrape."""
 
     def members() -> float:
         return 0 if control.view is None else len(control.view.members)
@@ -29,11 +29,11 @@
     def connected() -> float:
         return sum(peers.connected(member.member) for member in peers.members())
 
-    def stamp_age() -> Reading:
+    def stamp_age() -> Measurements:
         age_ms = control.fitness.stamp_age_ms(now_ms())
         return [] if age_ms is None else [(age_ms, {})]
 
-    single: Mapping[Instrument, Callable[[], float]] = {
+    single_gauges: Mapping[Instrument, Callable[[], float]] = {
         instruments.FIT: control.is_eligible,
         instruments.MEMBERS: members,
         instruments.PEERS: connected,
@@ -41,30 +41,32 @@
         instruments.CALLER_CONNECTIONS: connections,
         instruments.HEARTBEAT_BYTES: lambda: control.heartbeat_bytes,
     }
-    for instrument, read in single.items():
-        metrics.observe(instrument, _alone(read))
+    for instrument, read in single_gauges.items():
+        metrics.observe(instrument, _single_measurement(read))
     metrics.observe(instruments.STAMP_AGE_MS, stamp_age)
-    metrics.observe(instruments.QUEUED, lambda: _by_service(_queued(home)))
-    metrics.observe(instruments.EJECTED, lambda: _by_service(_ejected(home)))
+    metrics.observe(instruments.QUEUED, lambda: _by_service(_queued(coordinator)))
+    metrics.observe(instruments.EJECTED, lambda: _by_service(_ejected(coordinator)))
 
 
-def _alone(read: Callable[[], float]) -> Callable[[], Reading]:
+def _single_measurement(read: Callable[[], float]) -> Callable[[], Measurements]:
     return lambda: [(float(read()), {})]
 
 
-def _by_service(values: Counter[str]) -> Reading:
+def _by_service(values: Counter[str]) -> Measurements:
     return [(value, {"service": service}) for service, value in values.items()]
 
 
-def _queued(home: HomeService) -> Counter[str]:
-    found: Counter[str] = Counter()
-    for service, status, _ in home.groups():
-        found[service] += status.load.queued
-    return found
+def _queued(coordinator: HomeService) -> Counter[str]:
+    counts: Counter[str] = Counter()
+    for service, status, _ in coordinator.groups():
+        counts[service] += status.load.queued
+    return counts
 
 
-def _ejected(home: HomeService) -> Counter[str]:
-    found: Counter[str] = Counter()
-    for service, _, targets in home.groups():
-        found[service] += sum(one.state is HealthState.EJECTED for one in targets)
-    return found
+def _ejected(coordinator: HomeService) -> Counter[str]:
+    counts: Counter[str] = Counter()
+    for service, _, targets in coordinator.groups():
+        counts[service] += sum(
+            target.state is HealthState.EJECTED for target in targets
+        )
+    return counts
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -1,4 +1,4 @@
-"""Carry out the decisions of one home for one group of targets."""
+"""Execute the decisions of the coordinator of one group of targets."""
 
 import asyncio
 import random
@@ -39,39 +39,39 @@
 from crocusspindle.ids import AttemptId, CustomerId, RequestId, ServiceId, TargetId
 from crocusspindle.services.group_meter import GroupMeter
 from crocusspindle.services.handed_over import (
-    Answered,
     GivenUp,
-    HandedOver,
-    Through,
+    HandedOverRequest,
+    ResponseReceived,
+    ResponseTransfer,
     refusal_reason,
 )
 from crocusspindle.services.targets import AttemptResult, TargetClient, TargetRequest
 from crocusspindle.wire import fleet_pb2 as wire
 
 CANCELLED: Final = "cancelled"
-CLIENT_ERROR: Final = 400
+MIN_CLIENT_ERROR_STATUS: Final = 400
 SERVER_ERROR: Final = 500
 RETRY_MS: Final = 1_000.0
 DECLINE_MS: Final = 5_000.0
-"""As long as the judge waits before it says so again; a cut path then shows itself
-in the heartbeats, or is whole again."""
+"""The interval at which health evaluation repeats a suspicion of the group. By then a
+broken path shows in the heartbeats, or works again."""
 
-HEALTH_TICK_S: Final = 0.1
-"""Detection within 2 s wants the age of running requests looked at often; ten
-looks a second cost a group of 16 targets little."""
+HEALTH_CHECK_INTERVAL_S: Final = 0.1
+"""Detection within 2 s needs frequent checks of the age of running attempts; ten a
+second cost little for a group of 16 targets."""
 
 
-class Rights(Protocol):
-    """Say what this node may do at this moment."""
+class DispatchPermissions(Protocol):
+    """Tell what this node may dispatch at this moment."""
 
     def is_eligible(self) -> bool:
-        """Return True if the node may begin new work now."""
+        """Return True if the node may take new requests now."""
 
     def key_active(self, credential: bytes) -> bool:
-        """Return True if the key is still in use."""
+        """Return True if the key is active."""
 
     def approved(self, service: ServiceId, customer: CustomerId) -> bool:
-        """Return True if the service's owner lets the customer call it."""
+        """Return True if the service's owner has approved the customer."""
 
 
 HealthSink = Callable[["GroupRunner", HealthChange], None]
@@ -79,7 +79,7 @@
 
 
 class GroupRunner:
-    """Drive the deciding core of one group with real time and sockets."""
+    """Run the coordinator of one group with real time and sockets."""
 
     def __init__(
         self,
@@ -87,21 +87,21 @@
         settings: CoordinatorSettings,
         health: GroupHealth,
         client: TargetClient,
-        rights: Rights,
-        generator: random.Random,
+        permissions: DispatchPermissions,
+        rng: random.Random,
         on_health: HealthSink,
-        opinion: OpinionSource,
+        second_opinion: OpinionSource,
         meter: GroupMeter,
     ) -> None:
         self.name = name
-        self._home = GroupCoordinator.from_config(settings, health, generator)
+        self._coordinator = GroupCoordinator.from_config(settings, health, rng)
         self._health = health
         self._client = client
-        self._rights = rights
+        self._permissions = permissions
         self._on_health = on_health
-        self._opinion = opinion
+        self._second_opinion = second_opinion
         self._meter = meter
-        self._requests: dict[RequestId, HandedOver] = {}
+        self._requests: dict[RequestId, HandedOverRequest] = {}
         self._attempts: dict[AttemptId, asyncio.Task[None]] = {}
         self._outstanding: dict[TargetId, dict[AttemptId, float]] = {}
         self.declines_until_ms = 0.0
@@ -111,7 +111,7 @@
         self._health_task = asyncio.create_task(self._watch_health())
 
     async def close(self) -> None:
-        """Cancel what runs."""
+        """Cancel all attempts and tasks."""
         if self._timer is not None:
             self._timer.cancel()
         tasks = [self._health_task, *self._attempts.values(), *self._side_tasks]
@@ -121,18 +121,18 @@
 
     @property
     def busy(self) -> bool:
-        """Return True while requests wait or run here."""
+        """Return True while requests are queued or running here."""
         return bool(self._requests or self._attempts)
 
     def set_targets(self, targets: Iterable[Target]) -> None:
-        """Take the group's targets from the host list."""
+        """Update the group's targets from the host list."""
         listed = list(targets)
         now = now_ms()
         self._report(self._health.set_targets(listed, now))
-        self._carry_out(self._home.set_targets(listed, now))
+        self._execute(self._coordinator.set_targets(listed, now))
 
-    def arrive(self, request: HandedOver) -> None:
-        """Take a request; its final answer comes through its future."""
+    def arrive(self, request: HandedOverRequest) -> None:
+        """Queue or dispatch a request; its result is set on its future."""
         self._requests[request.number] = request
         self._meter.arrived(request.number, now_ms())
         head = request.head
@@ -141,40 +141,40 @@
             customer=CustomerId(head.customer),
             weight=head.weight,
             deadline_ms=request.deadline_ms,
-            idempotent=request.repeatable,
-            may_hedge=head.may_hedge and request.repeatable,
+            idempotent=request.retryable,
+            may_hedge=head.may_hedge and request.retryable,
             credential=head.credential,
         )
-        self._carry_out(self._home.arrive(arrival, now_ms()))
+        self._execute(self._coordinator.arrive(arrival, now_ms()))
 
-    def withdraw(self, request: HandedOver) -> None:
-        """Give up a request that its entry no longer wants."""
-        self._carry_out(self._home.withdraw(request.number, now_ms()))
+    def withdraw(self, request: HandedOverRequest) -> None:
+        """Cancel a request that its entry has withdrawn."""
+        self._execute(self._coordinator.withdraw(request.number, now_ms()))
 
-    def forget(self, request: HandedOver) -> None:
-        """Drop a request whose answer is through."""
+    def forget(self, request: HandedOverRequest) -> None:
+        """Drop a request whose result has been sent."""
         self._requests.pop(request.number, None)
         self._meter.forget(request.number)
 
     def revoke(self, credential: bytes) -> None:
-        """Give up what is queued under a withdrawn key."""
-        self._carry_out(self._home.revoke(credential, now_ms()))
+        """Refuse the requests that are queued under a withdrawn key."""
+        self._execute(self._coordinator.revoke(credential, now_ms()))
 
     def load(self) -> CoordinatorLoad:
-        """Return how loaded the group is."""
-        return self._home.load()
+        """Return the load of the group."""
+        return self._coordinator.load()
 
     def status(self) -> tuple[CoordinatorStatus, tuple[TargetHealth, ...]]:
-        """Return what operators see of the group."""
+        """Return the coordinator's status and the health of its targets."""
         now = now_ms()
-        return self._home.snapshot(), self._health.snapshot(now)
+        return self._coordinator.snapshot(), self._health.snapshot(now)
 
-    def _carry_out(self, decisions: Iterable[Decision]) -> None:
+    def _execute(self, decisions: Iterable[Decision]) -> None:
         for decision in decisions:
-            self._carry_out_one(decision)
+            self._execute_one(decision)
         self._arm_timer()
 
-    def _carry_out_one(self, decision: Decision) -> None:
+    def _execute_one(self, decision: Decision) -> None:
         match decision:
             case Dispatch():
                 self._meter.began(decision.request, decision.attempt, now_ms())
@@ -183,10 +183,10 @@
                 if attempt in self._attempts:
                     self._attempts[attempt].cancel()
             case Finish(request, attempt):
-                self._answer(request, attempt, None)
+                self._respond(request, attempt, None)
             case Refuse(request, reason, retry_at_ms):
-                refused = GivenUp(Outcome.NOT_RUN, refusal_reason(reason), retry_at_ms)
-                self._conclude(request, refused)
+                refusal = GivenUp(Outcome.NOT_RUN, refusal_reason(reason), retry_at_ms)
+                self._conclude(request, refusal)
             case Fail():
                 self._fail(decision)
 
@@ -197,37 +197,41 @@
         task = asyncio.create_task(self._attempt(dispatch))
         self._attempts[dispatch.attempt] = task
 
-    def _answer(
+    def _respond(
         self, request: RequestId, attempt: AttemptId, outcome: Outcome | None
     ) -> None:
         result = self._results.pop(attempt, None)
-        if result is None or result.answer is None:
+        if result is None or result.target_response is None:
             given_up = GivenUp(Outcome.UNKNOWN, "no-answer", now_ms() + RETRY_MS)
             self._conclude(request, given_up)
             return
-        self._conclude(request, Answered(result.answer, outcome))
+        self._conclude(request, ResponseReceived(result.target_response, outcome))
 
     def _fail(self, failed: Fail) -> None:
-        # A whole 5xx of the last target tells the caller more than a word of
-        # ours, but it doesn't say whether the work was done.
+        # A complete 5xx response of the last target tells the caller more than an
+        # error of this node, but not whether the work was done.
         last = failed.last_attempt
         result = None if last is None else self._results.get(last)
-        if last is not None and result is not None and result.answer is not None:
-            self._answer(failed.request, last, failed.outcome)
+        if (
+            last is not None
+            and result is not None
+            and result.target_response is not None
+        ):
+            self._respond(failed.request, last, failed.outcome)
             return
         reason = "target-failed" if failed.outcome is Outcome.UNKNOWN else "not-sent"
         given_up = GivenUp(failed.outcome, reason, failed.retry_at_ms)
         self._conclude(failed.request, given_up)
 
-    def _conclude(self, request: RequestId, final: Answered | GivenUp) -> None:
-        handed = self._requests.get(request)
-        if handed is not None:
-            handed.conclude(final)
+    def _conclude(self, request: RequestId, final: ResponseReceived | GivenUp) -> None:
+        handed_over = self._requests.get(request)
+        if handed_over is not None:
+            handed_over.conclude(final)
 
     def _arm_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        due_ms = self._home.next_tick_ms()
+        due_ms = self._coordinator.next_tick_ms()
         if due_ms is None:
             self._timer = None
             return
@@ -236,17 +240,17 @@
 
     def _tick(self) -> None:
         self._timer = None
-        self._carry_out(self._home.tick(now_ms()))
+        self._execute(self._coordinator.tick(now_ms()))
 
     async def _attempt(self, dispatch: Dispatch) -> None:
         result = AttemptResult(AttemptEnd.SILENT, 0.0, detail=CANCELLED)
-        began_ms = now_ms()
+        started_ms = now_ms()
         try:
             result = await self._send(dispatch)
-            await self._let_finish(dispatch, result)
+            await self._await_transfer(dispatch, result)
         finally:
-            # Also after a cancellation: the core frees the slot only when it is
-            # told the end.
+            # Also after a cancellation: the coordinator frees the slot only once the
+            # end of the attempt is recorded.
             del self._attempts[dispatch.attempt]
             never_sent = dispatch.attempt not in self._outstanding.get(
                 dispatch.target, {}
@@ -254,7 +258,7 @@
             if result.detail == CANCELLED and never_sent:
                 result.end = AttemptEnd.UNSENT
             self._outstanding.get(dispatch.target, {}).pop(dispatch.attempt, None)
-            self._note_end(dispatch, result, now_ms() - began_ms)
+            self._record_end(dispatch, result, now_ms() - started_ms)
 
     async def _send(self, dispatch: Dispatch) -> AttemptResult:
         request = self._requests.get(dispatch.request)
@@ -265,8 +269,10 @@
         head = request.head
         if not self._may_send(head):
             self.withdraw(request)
-            return AttemptResult(AttemptEnd.UNSENT, 0.0, detail="no right to send")
-        sending = TargetRequest(
+            return AttemptResult(
+                AttemptEnd.UNSENT, 0.0, detail="no longer permitted to send"
+            )
+        target_request = TargetRequest(
             request=head.request,
             customer=CustomerId(head.customer),
             method=head.method,
@@ -277,75 +283,80 @@
         )
         sent = self._outstanding.setdefault(dispatch.target, {})
         sent[dispatch.attempt] = now_ms()
-        return await self._client.send(dispatch.target, sending)
+        return await self._client.send(dispatch.target, target_request)
 
     def _may_send(self, head: wire.RequestHead) -> bool:
         """Return True if the request may still go to a target.
 
-        Checked at the moment of use: the process may have been paused, or the key or
-        the owner's approval withdrawn, since the request was queued.
+        Checked right before the attempt: since the request was queued, the process may
+        have been paused, or the key or the owner's approval withdrawn.
         """
-        if not self._rights.is_eligible() or not self._rights.key_active(
+        if not self._permissions.is_eligible() or not self._permissions.key_active(
             head.credential
         ):
             return False
         service, customer = ServiceId(head.service), CustomerId(head.customer)
-        return self._rights.approved(service, customer)
+        return self._permissions.approved(service, customer)
 
-    async def _let_finish(self, dispatch: Dispatch, result: AttemptResult) -> None:
-        """Hand a long answer on and keep the slot until it is through."""
-        if result.answer is None or result.answer.rest is None:
+    async def _await_transfer(self, dispatch: Dispatch, result: AttemptResult) -> None:
+        """Pass a long response on, and keep the slot until its transfer ends."""
+        if (
+            result.target_response is None
+            or result.target_response.open_response is None
+        ):
             return
-        self._carry_out(self._home.started(dispatch.attempt, now_ms()))
+        self._execute(self._coordinator.started(dispatch.attempt, now_ms()))
         request = self._requests.get(dispatch.request)
         if request is None or request.final.done():
-            result.answer.rest.close()
+            result.target_response.open_response.close()
             return
-        request.conclude(Answered(result.answer, None))
-        through = await request.answered_through()
-        if through is Through.TARGET_BROKE:
+        request.conclude(ResponseReceived(result.target_response, None))
+        transfer = await request.wait_transferred()
+        if transfer is ResponseTransfer.TARGET_FAILED:
             result.end = AttemptEnd.FAILED
-        elif through is Through.ENTRY_GONE:
-            # A caller that hung up says nothing about the target.
+        elif transfer is ResponseTransfer.ENTRY_LOST:
+            # A caller that disconnects is no evidence about the target.
             result.end = AttemptEnd.SILENT
             result.detail = CANCELLED
 
-    def _note_end(
+    def _record_end(
         self, dispatch: Dispatch, result: AttemptResult, latency_ms: float
     ) -> None:
         now = now_ms()
         self._meter.ended(dispatch.request, dispatch.attempt, result.end, now)
-        if result.answer is not None:
+        if result.target_response is not None:
             self._results[dispatch.attempt] = result
-        judged = _judged(result)
-        if judged is not None:
-            sample = Sample(dispatch.target, judged, latency_ms)
+        health_outcome = _health_outcome(result)
+        if health_outcome is not None:
+            sample = Sample(dispatch.target, health_outcome, latency_ms)
             self._report(self._health.observe(sample, now))
-        self._carry_out(self._home.ended(dispatch.attempt, result.end, latency_ms, now))
+        self._execute(
+            self._coordinator.ended(dispatch.attempt, result.end, latency_ms, now)
+        )
         self._results.pop(dispatch.attempt, None)
 
     def _report(self, changes: Iterable[HealthChange]) -> None:
         for change in changes:
             self._on_health(self, change)
             if isinstance(change, GroupSuspect):
-                # All look bad from here while another domain reaches them: the
-                # path or this node is at fault, and the next home serves better.
+                # Another domain reaches the targets, so the path or this node is
+                # faulty, and another coordinator serves better.
                 self.declines_until_ms = now_ms() + DECLINE_MS
             if isinstance(change, SecondOpinionWanted):
-                task = asyncio.create_task(self._ask_opinion(change.target))
+                task = asyncio.create_task(self._request_opinion(change.target))
                 self._side_tasks.add(task)
                 task.add_done_callback(self._side_tasks.discard)
 
-    async def _ask_opinion(self, target: TargetId) -> None:
-        # Without any peer to ask, the core's own wait runs out and it decides on
-        # its own evidence.
+    async def _request_opinion(self, target: TargetId) -> None:
+        # Without a peer's reply, health evaluation times out waiting and decides on
+        # local evidence.
         with suppress(PeerError):
-            reached = await self._opinion(target)
+            reached = await self._second_opinion(target)
             self._report(self._health.second_opinion(target, reached, now_ms()))
-            self._carry_out(self._home.tick(now_ms()))
+            self._execute(self._coordinator.tick(now_ms()))
 
-    def _judge_outstanding(self, now: float) -> None:
-        """Let the health judge see how long targets have not answered."""
+    def _evaluate_outstanding(self, now: float) -> None:
+        """Report the ages of unanswered attempts to health evaluation."""
         for target, sent in list(self._outstanding.items()):
             if not sent:
                 del self._outstanding[target]
@@ -355,14 +366,14 @@
 
     async def _watch_health(self) -> None:
         while True:
-            await asyncio.sleep(HEALTH_TICK_S)
-            self._judge_outstanding(now_ms())
+            await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
+            self._evaluate_outstanding(now_ms())
             self._report(self._health.tick(now_ms()))
-            self._carry_out(self._home.tick(now_ms()))
+            self._execute(self._coordinator.tick(now_ms()))
 
 
-def _judged(result: AttemptResult) -> HealthOutcome | None:
-    """Return what an attempt says of its target's health, if anything."""
+def _health_outcome(result: AttemptResult) -> HealthOutcome | None:
+    """Return an attempt's outcome for health evaluation, None if it is no evidence."""
     if result.end is AttemptEnd.UNSENT:
         return HealthOutcome.REFUSED if result.latency_ms else None
     if result.end is AttemptEnd.SHED:
@@ -372,5 +383,13 @@
         return HealthOutcome.ABANDONED if cancelled else HealthOutcome.TIMEOUT
     if result.end is AttemptEnd.FAILED:
         return HealthOutcome.ERROR
-    status = result.answer.status if result.answer is not None else SERVER_ERROR
-    return HealthOutcome.CALLER_ERROR if status >= CLIENT_ERROR else HealthOutcome.OK
+    status = (
+        result.target_response.status
+        if result.target_response is not None
+        else SERVER_ERROR
+    )
+    return (
+        HealthOutcome.CALLER_ERROR
+        if status >= MIN_CLIENT_ERROR_STATUS
+        else HealthOutcome.OK
+    )
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -1,4 +1,4 @@
-"""Hand a caller's request from its entry to a home, and to the next one if needed."""
+"""Hand a request from its entry to a group coordinator, or to the next one."""
 
 import asyncio
 import random
@@ -17,34 +17,35 @@
 from crocusspindle.kernel import Service
 from crocusspindle.services.control import ControlService
 from crocusspindle.services.handed_over import GivenUp
-from crocusspindle.services.home import HOME_UNFIT, HomeService
+from crocusspindle.services.home import COORDINATOR_UNFIT, HomeService
 from crocusspindle.services.links import EntryLink, LocalLink, RemoteEntryLink
 from crocusspindle.services.peers import PEER_FAILURES, Peers
 from crocusspindle.settings_schema import TimingSettings
 from crocusspindle.wire import fleet_pb2 as wire
 
 CHUNK_BYTES: Final = 65_536
-HOMES_TRIED: Final = 3
-"""The first home is silent, the second may have died with it in one rack; a third
-silent one means that this entry is cut off, and other entries serve better."""
+MAX_COORDINATORS_TRIED: Final = 3
+"""The first two may have failed together in one rack. A third silent coordinator
+means that this entry is isolated, and other entries serve the caller better."""
 
-FINAL_GRACE_S: Final = 0.25
-"""A home ends every request by its deadline; its word needs a hop or two to here."""
+FINAL_FRAME_GRACE_S: Final = 0.25
+"""A coordinator ends each request by its deadline; its last frame takes one or two
+hops more to this entry."""
 
-AVOID_MS: Final = 1_000.0
-"""A home that failed one request is tried last for so long: a paused one would cost
-each request the wait for its word until the heartbeats show that it is silent."""
+AVOIDANCE_MS: Final = 1_000.0
+"""A coordinator that failed one request is tried last for this time: a paused one
+would delay each request until the heartbeats show that it is silent."""
 
-RANKED: Final = 32
-"""Members of an order that are looked at: more than ever are unusable at once, but
-in an outage of failure domains, when this entry takes the work itself."""
+MAX_RANKED_MEMBERS: Final = 32
+"""Ranked members that are considered for a group. More are unusable at once only in
+an outage of failure domains, when this entry coordinates the group itself."""
 
 RETRY_MS: Final = 1_000.0
 
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """Hold an admitted request; ``rest`` yields what follows the buffered body."""
+    """Hold an admitted request; ``body_rest`` yields what follows the buffered body."""
 
     request: str
     customer: CustomerId
@@ -58,90 +59,90 @@
     may_hedge: bool
     credential: bytes
     body: bytes = b""
-    rest: AsyncIterator[bytes] | None = None
+    body_rest: AsyncIterator[bytes] | None = None
 
     @property
     def has_body(self) -> bool:
-        """Return True if a body goes with the request."""
-        return bool(self.body) or self.rest is not None
+        """Return True if the request has a body."""
+        return bool(self.body) or self.body_rest is not None
 
     @property
     def needs_claim(self) -> bool:
-        """Return True if a home asks before it sends the request to a target."""
+        """Return True if a coordinator needs a grant before it contacts a target."""
         return not self.idempotent or self.has_body
 
     @property
     def replayable(self) -> bool:
-        """Return True if another home may run it after one has begun to."""
-        return self.idempotent and self.rest is None
+        """Return True if another coordinator may run it after one has started it."""
+        return self.idempotent and self.body_rest is None
 
 
 @dataclass
-class HomeAnswer:
-    """Hold the head of an answer whose parts are still to be read."""
+class CoordinatorResponse:
+    """Hold the head of a response whose body is still to be read."""
 
     status: int
     headers: list[tuple[str, str]]
     outcome: Outcome | None
     first: bytes
-    whole: bool
+    complete: bool
     _link: EntryLink
-    _request: str
+    _request_id: str
 
-    async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body; raise ``PeerError`` unless the answer came whole."""
+    async def body_chunks(self) -> AsyncIterator[bytes]:
+        """Yield the body; raise ``PeerError`` if the response is truncated."""
         if self.first:
             yield self.first
-        while not self.whole:
+        while not self.complete:
             frame = await self._link.receive()
             kind = frame.WhichOneof("frame")
             if kind == "chunk":
                 yield frame.chunk
-            elif kind == "end" and frame.end.request == self._request:
+            elif kind == "end" and frame.end.request == self._request_id:
                 return
             else:
-                raise PeerError("the answer broke off")
+                raise PeerError("the response ended early")
 
 
 @dataclass
-class Handling:
-    """Follow one request through the homes it was handed to."""
+class HandOverState:
+    """Track one request across the coordinators that it is handed to."""
 
     call: CallerRequest
     dispatch_by_ms: float | None = None
-    """Until when a named operation may be sent for the first time."""
+    """Until when the first attempt of a named operation may begin."""
     group: Group | None = None
     begun_elsewhere: bool = False
-    """Whether a home was lost that may have run the request, or may yet."""
+    """Whether a lost coordinator may have run the request, or may still run it."""
     granted: bool = False
-    """Whether a home was allowed to send it: from here it may have run."""
+    """Whether a coordinator has the grant to send it, so that it may have run."""
     stack: AsyncExitStack = field(default_factory=AsyncExitStack)
 
     async def close(self) -> None:
-        """Release the link to the home; what it still runs is withdrawn."""
-        # A connection that broke meanwhile is released all the same.
+        """Close the link to the coordinator, which withdraws a running request."""
+        # The exit stack releases a link that has failed as well.
         with suppress(*PEER_FAILURES):
             await self.stack.aclose()
 
     @property
     def outcome(self) -> Outcome:
-        """Return what is known of the request when its home is lost."""
-        unsure = self.granted or self.begun_elsewhere
-        return Outcome.UNKNOWN if unsure else Outcome.NOT_RUN
+        """Return the outcome of the request if its coordinator is lost."""
+        may_have_run = self.granted or self.begun_elsewhere
+        return Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
 
-    def lose(self) -> None:
-        """Note that a home fell silent or was lost after it had the request.
+    def record_loss(self) -> None:
+        """Record that a coordinator was lost or silent after it had the request.
 
-        A home sends what needs no claim without a word to us. It may be running it,
-        or do so when it wakes from a pause, so that no later refusal by another home
-        makes "not run" true.
+        A coordinator sends a request that needs no claim without a further message.
+        It may be running it, or run it after a pause, so a later refusal by another
+        coordinator does not make the outcome "not run".
         """
         if self.granted or not self.call.needs_claim:
             self.begun_elsewhere = True
 
 
 class HandOverService(Service):
-    """Choose homes for requests and follow their answers."""
+    """Choose coordinators for requests and return their responses."""
 
     name = "hand_over"
     needs = ("control", "peers", "home")
@@ -150,65 +151,65 @@
         self,
         control: ControlService,
         peers: Peers,
-        home: HomeService,
+        coordinator: HomeService,
         timings: TimingSettings,
     ) -> None:
         self._control = control
         self._peers = peers
-        self._home = home
+        self._local_coordinator = coordinator
         self._timings = timings
         self._avoided_until_ms: dict[MemberId, float] = {}
         self._chooser = GroupChooser(random.Random())
         self._ranked_view = ViewNumber(0)
         self._ranks: dict[bytes, list[MemberId]] = {}
 
-    async def run(self, handling: Handling) -> HomeAnswer | GivenUp:
-        """Return the answer's head or the final word, by the deadline.
+    async def run(self, state: HandOverState) -> CoordinatorResponse | GivenUp:
+        """Return the response's head, or the failure, by the deadline.
 
-        A home that is silent, unfit or gone is passed over for the next one, but
-        only while the request provably has not begun or may run twice.
+        The next coordinator is tried after one that is silent, not eligible or lost,
+        but only while the request certainly has not started or may run twice.
         """
-        call = handling.call
-        last: GivenUp | None = None
+        call = state.call
+        last_refusal: GivenUp | None = None
         groups = self._control.groups.get(call.service, ())
         if not groups:
-            return self._given_up(handling, "no-target")
-        handling.group = self._chooser.choose(groups)
-        homes = self._homes(handling.group)[:HOMES_TRIED]
-        for home in homes:
+            return self._failure(state, "no-target")
+        state.group = self._chooser.choose(groups)
+        coordinators = self._coordinators(state.group)[:MAX_COORDINATORS_TRIED]
+        for coordinator in coordinators:
             if now_ms() >= call.deadline_ms:
                 break
-            may_move = home != homes[-1]
+            may_move = coordinator != coordinators[-1]
             try:
-                link = await self._open(handling, home)
-                found = await self._negotiate(handling, link, may_move)
+                link = await self._open(state, coordinator)
+                result = await self._negotiate(state, link, may_move)
             except PEER_FAILURES:
-                self._avoided_until_ms[home] = now_ms() + AVOID_MS
-                handling.lose()
-                await handling.close()
-                if handling.granted and not call.replayable:
-                    return self._given_up(handling, "home-lost")
+                self._avoided_until_ms[coordinator] = now_ms() + AVOIDANCE_MS
+                state.record_loss()
+                await state.close()
+                if state.granted and not call.replayable:
+                    return self._failure(state, "home-lost")
                 continue
-            if isinstance(found, GivenUp) and found.reason == HOME_UNFIT:
-                last = found
-                await handling.close()
+            if isinstance(result, GivenUp) and result.reason == COORDINATOR_UNFIT:
+                last_refusal = result
+                await state.close()
                 continue
-            return self._word(handling, found)
-        word = last or self._given_up(handling, "no-home")
-        return self._word(handling, word)
-
-    def _word(
-        self, handling: Handling, found: HomeAnswer | GivenUp
-    ) -> HomeAnswer | GivenUp:
-        if not isinstance(found, GivenUp) or not handling.begun_elsewhere:
-            return found
-        return GivenUp(Outcome.UNKNOWN, found.reason, found.retry_at_ms)
-
-    def _given_up(self, handling: Handling, reason: str) -> GivenUp:
-        return GivenUp(handling.outcome, reason, now_ms() + RETRY_MS)
-
-    def _homes(self, group: Group) -> list[MemberId]:
-        """Return the nodes that may be the group's home, best first."""
+            return self._final_result(state, result)
+        failure = last_refusal or self._failure(state, "no-home")
+        return self._final_result(state, failure)
+
+    def _final_result(
+        self, state: HandOverState, result: CoordinatorResponse | GivenUp
+    ) -> CoordinatorResponse | GivenUp:
+        if not isinstance(result, GivenUp) or not state.begun_elsewhere:
+            return result
+        return GivenUp(Outcome.UNKNOWN, result.reason, result.retry_at_ms)
+
+    def _failure(self, state: HandOverState, reason: str) -> GivenUp:
+        return GivenUp(state.outcome, reason, now_ms() + RETRY_MS)
+
+    def _coordinators(self, group: Group) -> list[MemberId]:
+        """Return the nodes that may coordinate the group, best first."""
         view, me = self._control.view, self._control.me.member
         if view is None:
             return [me]
@@ -224,97 +225,101 @@
         return ranked or [me]
 
     def _ranked(self, view: MemberView, group: Group) -> list[MemberId]:
-        """Return the members in the group's order, worked out once for a view."""
+        """Return the members in the group's rendezvous order, cached for each view."""
         if self._ranked_view != view.number:
             self._ranked_view = view.number
             self._ranks.clear()
-        found = self._ranks.get(group.key)
-        if found is None:
-            found = order(group.key, view.names)[:RANKED]
-            self._ranks[group.key] = found
-        return found
-
-    async def _open(self, handling: Handling, home: MemberId) -> EntryLink:
-        if home == self._control.me.member:
+        ranked = self._ranks.get(group.key)
+        if ranked is None:
+            ranked = order(group.key, view.names)[:MAX_RANKED_MEMBERS]
+            self._ranks[group.key] = ranked
+        return ranked
+
+    async def _open(self, state: HandOverState, coordinator: MemberId) -> EntryLink:
+        if coordinator == self._control.me.member:
             local = LocalLink()
-            serving = asyncio.create_task(self._serve_local(local))
-            handling.stack.push_async_callback(_cancelled, serving)
+            serve_task = asyncio.create_task(self._serve_local(local))
+            state.stack.push_async_callback(_cancel, serve_task)
             return local.entry
-        stub = self._peers.stub(home)
-        stream = await handling.stack.enter_async_context(
+        stub = self._peers.stub(coordinator)
+        stream = await state.stack.enter_async_context(
             stub.HandOver.open(metadata=self._peers.metadata)
         )
         link = RemoteEntryLink(stream)
-        handling.stack.push_async_callback(link.close)
+        state.stack.push_async_callback(link.close)
         return link
 
     async def _serve_local(self, local: LocalLink) -> None:
         with suppress(PeerError):
-            await self._home.serve(local.home)
+            await self._local_coordinator.serve(local.coordinator)
 
     async def _negotiate(
-        self, handling: Handling, link: EntryLink, may_move: bool
-    ) -> HomeAnswer | GivenUp:
-        call = handling.call
+        self, state: HandOverState, link: EntryLink, may_move: bool
+    ) -> CoordinatorResponse | GivenUp:
+        call = state.call
         async with asyncio.timeout(self._timings.hand_over_ms / 1e3):
-            await link.send(wire.HandOverFrame(head=_head(handling, may_move)))
+            await link.send(wire.HandOverFrame(head=_request_head(state, may_move)))
             frame = await link.receive()
         try:
-            async with asyncio.timeout(remaining_s(call.deadline_ms) + FINAL_GRACE_S):
-                return await self._await_answer(handling, link, frame)
+            async with asyncio.timeout(
+                remaining_s(call.deadline_ms) + FINAL_FRAME_GRACE_S
+            ):
+                return await self._await_response(state, link, frame)
         except TimeoutError:
-            # The home should have ended it by now: it is silent, and the caller
-            # gets the word that holds at this moment.
-            handling.lose()
-            return self._given_up(handling, "home-silent")
-
-    async def _await_answer(
-        self, handling: Handling, link: EntryLink, frame: wire.AnswerFrame
-    ) -> HomeAnswer | GivenUp:
-        call = handling.call
+            # The coordinator ends requests by their deadline, so it is silent. The
+            # caller gets the outcome as this entry knows it.
+            state.record_loss()
+            return self._failure(state, "home-silent")
+
+    async def _await_response(
+        self, state: HandOverState, link: EntryLink, frame: wire.AnswerFrame
+    ) -> CoordinatorResponse | GivenUp:
+        call = state.call
         while True:
             kind = frame.WhichOneof("frame")
             if kind == "head":
-                self._note_load(handling, frame.head.load)
-                return _answer(frame.head, link, call)
+                self._update_load(state, frame.head.load)
+                return _response_from(frame.head, link, call)
             if kind == "refusal":
-                return _refusal(frame.refusal)
+                return _failure_from(frame.refusal)
             if kind == "claim":
-                word = await self._allow(handling, link)
-                if word is not None:
-                    return word
+                failure = await self._grant(state, link)
+                if failure is not None:
+                    return failure
             elif kind == "queued":
-                self._note_load(handling, frame.queued.load)
+                self._update_load(state, frame.queued.load)
             else:
-                raise PeerError(f"a home must not send {kind} first")
+                raise PeerError(f"a coordinator must not send {kind} first")
             frame = await link.receive()
 
-    def _note_load(self, handling: Handling, load: wire.Load) -> None:
-        if handling.group is not None:
-            seen = CoordinatorLoad(load.queued, load.running, load.slots, load.wait_ms)
-            self._chooser.update_load(handling.group, seen)
-
-    async def _allow(self, handling: Handling, link: EntryLink) -> GivenUp | None:
-        """Let the home send the request, unless there is a word against it."""
-        call = handling.call
-        by_ms = handling.dispatch_by_ms
-        if by_ms is not None and not handling.granted and now_ms() >= by_ms:
-            # Its ledger nodes may have given the operation up by now.
+    def _update_load(self, state: HandOverState, load: wire.Load) -> None:
+        if state.group is not None:
+            load_seen = CoordinatorLoad(
+                load.queued, load.running, load.slots, load.wait_ms
+            )
+            self._chooser.update_load(state.group, load_seen)
+
+    async def _grant(self, state: HandOverState, link: EntryLink) -> GivenUp | None:
+        """Grant the coordinator's claim, or return the failure that prevents it."""
+        call = state.call
+        by_ms = state.dispatch_by_ms
+        if by_ms is not None and not state.granted and now_ms() >= by_ms:
+            # The ledger nodes may have cancelled the operation by now.
             await link.send(wire.HandOverFrame(withdraw=wire.Withdraw()))
-            return self._given_up(handling, "operation-too-late")
-        handling.granted = True
+            return self._failure(state, "operation-too-late")
+        state.granted = True
         grant = wire.Grant()
-        if call.rest is None and len(call.body) <= CHUNK_BYTES:
+        if call.body_rest is None and len(call.body) <= CHUNK_BYTES:
             grant.body = call.body
             grant.body_whole = True
         await link.send(wire.HandOverFrame(grant=grant))
         if call.has_body and not grant.body_whole:
-            sending = asyncio.create_task(_send_body(call, link))
-            handling.stack.push_async_callback(_cancelled, sending)
+            body_task = asyncio.create_task(_send_body(call, link))
+            state.stack.push_async_callback(_cancel, body_task)
         return None
 
 
-async def _cancelled(task: asyncio.Task[None]) -> None:
+async def _cancel(task: asyncio.Task[None]) -> None:
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
@@ -323,19 +328,19 @@
     for first in range(0, len(call.body), CHUNK_BYTES):
         chunk = call.body[first : first + CHUNK_BYTES]
         await link.send(wire.HandOverFrame(chunk=chunk))
-    if call.rest is not None:
-        async for part in call.rest:
-            await link.send(wire.HandOverFrame(chunk=part))
+    if call.body_rest is not None:
+        async for rest_chunk in call.body_rest:
+            await link.send(wire.HandOverFrame(chunk=rest_chunk))
     await link.send(wire.HandOverFrame(body_end=wire.BodyEnd()))
 
 
-def _head(handling: Handling, may_move: bool) -> wire.RequestHead:
-    call = handling.call
+def _request_head(state: HandOverState, may_move: bool) -> wire.RequestHead:
+    call = state.call
     head = wire.RequestHead(
         request=call.request,
         customer=call.customer,
         service=call.service,
-        group=0 if handling.group is None else handling.group.number,
+        group=0 if state.group is None else state.group.number,
         method=call.method,
         path=call.path,
         weight=call.weight,
@@ -343,7 +348,7 @@
         idempotent=call.idempotent,
         may_hedge=call.may_hedge,
         credential=call.credential,
-        body_whole=call.rest is None,
+        body_whole=call.body_rest is None,
         has_body=call.has_body,
         may_move=may_move,
     )
@@ -353,22 +358,24 @@
     return head
 
 
-def _answer(head: wire.AnswerHead, link: EntryLink, call: CallerRequest) -> HomeAnswer:
-    # An answer under another request's id must not reach this caller.
+def _response_from(
+    head: wire.AnswerHead, link: EntryLink, call: CallerRequest
+) -> CoordinatorResponse:
+    # A response with another request's id must not reach this caller.
     if head.request != call.request:
-        raise PeerError("the home answered another request")
-    return HomeAnswer(
+        raise PeerError("the coordinator responded to another request")
+    return CoordinatorResponse(
         status=head.status,
         headers=[(header.name, header.value) for header in head.headers],
         outcome=Outcome(head.outcome) if head.outcome else None,
         first=head.body,
-        whole=head.whole,
+        complete=head.whole,
         _link=link,
-        _request=call.request,
+        _request_id=call.request,
     )
 
 
-def _refusal(refusal: wire.Refusal) -> GivenUp:
+def _failure_from(refusal: wire.Refusal) -> GivenUp:
     return GivenUp(
         outcome=Outcome(refusal.outcome),
         reason=refusal.reason,
--- a/src/crocusspindle/services/handed_over.py
+++ b/src/crocusspindle/services/handed_over.py
@@ -1,4 +1,4 @@
-"""Hold one request that an entry handed to this home."""
+"""Hold one request that an entry handed over to this group coordinator."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,103 +9,103 @@
 from crocusspindle.core.decisions import Outcome, RefusalReason
 from crocusspindle.errors import PeerError
 from crocusspindle.ids import RequestId
-from crocusspindle.services.links import FRAMES_UNDER_WAY, HomeLink
-from crocusspindle.services.targets import TargetAnswer
+from crocusspindle.services.links import MAX_BUFFERED_FRAMES, CoordinatorLink
+from crocusspindle.services.targets import TargetResponse
 from crocusspindle.wire import fleet_pb2 as wire
 
 CHUNK_BYTES: Final = 65_536
 CLAIM_WAIT_S: Final = 1.0
-"""An entry answers a claim within a round trip of some 3 ms. One that needs a
-second is cut off or paused, and a slot is too dear to wait longer for it."""
+"""An entry grants a claim within a round trip of about 3 ms. One that needs a second
+is isolated or paused, and the claim occupies a target's slot meanwhile."""
 
 
 @dataclass(frozen=True)
-class Answered:
-    """Hold the answer of a target and what the caller may conclude from it."""
+class ResponseReceived:
+    """Hold a target's response and the outcome that the caller is told."""
 
-    answer: TargetAnswer
+    response: TargetResponse
     outcome: Outcome | None
-    """None says that the request ran."""
+    """None means that the request ran."""
 
 
 @dataclass(frozen=True)
 class GivenUp:
-    """Hold the final word on a request without an answer."""
+    """Hold the outcome of a request that has no target's response."""
 
     outcome: Outcome
     reason: str
     retry_at_ms: float
 
 
-Conclusion: TypeAlias = Answered | GivenUp
+RequestResult: TypeAlias = ResponseReceived | GivenUp
 
 
 def refusal_reason(reason: RefusalReason) -> str:
-    """Return the word for a refusal that callers are told."""
+    """Return the reason of a refusal as callers receive it."""
     return reason.value.replace("_", "-")
 
 
-class Through(Enum):
-    """Tell how the passing on of a long answer ended."""
+class ResponseTransfer(Enum):
+    """Name how the transfer of a long response to the entry ended."""
 
-    WHOLE = "whole"
-    TARGET_BROKE = "target broke"
-    ENTRY_GONE = "entry gone"
+    COMPLETE = "whole"
+    TARGET_FAILED = "target broke"
+    ENTRY_LOST = "entry gone"
 
 
 @dataclass
-class HandedOver:
-    """Hold one request, its body as it comes and its final answer."""
+class HandedOverRequest:
+    """Hold one request, its body as it arrives and its final result."""
 
     number: RequestId
     head: wire.RequestHead
-    link: HomeLink
+    link: CoordinatorLink
     deadline_ms: float
-    final: asyncio.Future[Conclusion]
+    final: asyncio.Future[RequestResult]
     granted: asyncio.Event = field(default_factory=asyncio.Event)
     claimed: bool = False
     withdrawn: bool = False
-    _through: asyncio.Future[Through] = field(
+    _transfer: asyncio.Future[ResponseTransfer] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
-    _whole: bytearray = field(default_factory=bytearray)
-    _whole_here: asyncio.Event = field(default_factory=asyncio.Event)
-    _parts: asyncio.Queue[bytes | None] = field(
-        default_factory=lambda: asyncio.Queue(FRAMES_UNDER_WAY)
+    _buffered_body: bytearray = field(default_factory=bytearray)
+    _body_complete: asyncio.Event = field(default_factory=asyncio.Event)
+    _body_chunks: asyncio.Queue[bytes | None] = field(
+        default_factory=lambda: asyncio.Queue(MAX_BUFFERED_FRAMES)
     )
 
     @property
     def needs_claim(self) -> bool:
-        """Return True if the entry must allow the first sending to a target."""
+        """Return True if the entry must grant the first attempt."""
         return not self.head.idempotent or self.head.has_body
 
     @property
-    def repeatable(self) -> bool:
-        """Return True if the request may be sent more than once."""
+    def retryable(self) -> bool:
+        """Return True if the request may have more than one attempt."""
         return self.head.idempotent and (self.head.body_whole or not self.head.has_body)
 
     async def read(self) -> None:
-        """Take frames until the entry withdraws; raise ``PeerError`` on a loss."""
+        """Process frames until the entry withdraws; raise ``PeerError`` on a loss."""
         while True:
             frame = await self.link.receive()
             kind = frame.WhichOneof("frame")
             if kind == "chunk":
-                await self._take(frame.chunk)
+                await self._add_chunk(frame.chunk)
             elif kind == "body_end":
                 await self._finish_body()
             elif kind == "grant":
-                await self._take_grant(frame.grant)
+                await self._apply_grant(frame.grant)
             elif kind == "withdraw":
                 self.withdrawn = True
                 return
 
     async def claim(self) -> bool:
-        """Ask the entry for leave to send; return True once it is given.
+        """Claim the request at the entry; return True once it is granted.
 
-        An entry moves a request to another home when this one falls silent. A
-        home that was paused would send its copy when it wakes, and the caller
-        would pay twice. Only the entry knows, so it is asked at the last moment;
-        without its word nothing is sent.
+        An entry moves a request to another coordinator when this one is silent. A
+        coordinator that resumes after a pause would send its copy too, and the
+        operation would run twice. Only the entry knows where the request is, so the
+        claim comes right before the attempt, and nothing is sent without a grant.
         """
         if not self.needs_claim:
             return True
@@ -120,87 +120,91 @@
         return True
 
     async def body(self) -> bytes | AsyncIterator[bytes] | None:
-        """Return the body: whole if it may be sent twice, else as it comes."""
+        """Return the body: as bytes if the entry has all of it, else as a stream."""
         if not self.head.has_body:
             return None
         if not self.head.body_whole:
-            return self._stream()
-        await self._whole_here.wait()
-        return bytes(self._whole)
+            return self._stream_body()
+        await self._body_complete.wait()
+        return bytes(self._buffered_body)
 
-    async def _take_grant(self, grant: wire.Grant) -> None:
+    async def _apply_grant(self, grant: wire.Grant) -> None:
         if grant.body_whole:
-            self._whole += grant.body
+            self._buffered_body += grant.body
             await self._finish_body()
         self.granted.set()
 
-    async def _take(self, chunk: bytes) -> None:
+    async def _add_chunk(self, chunk: bytes) -> None:
         if self.head.body_whole:
-            self._whole += chunk
+            self._buffered_body += chunk
         else:
-            await self._parts.put(chunk)
+            await self._body_chunks.put(chunk)
 
     async def _finish_body(self) -> None:
         if self.head.body_whole:
-            self._whole_here.set()
+            self._body_complete.set()
         else:
-            await self._parts.put(None)
+            await self._body_chunks.put(None)
 
-    async def _stream(self) -> AsyncIterator[bytes]:
-        while (part := await self._parts.get()) is not None:
-            yield part
+    async def _stream_body(self) -> AsyncIterator[bytes]:
+        while (chunk := await self._body_chunks.get()) is not None:
+            yield chunk
 
-    async def answered_through(self) -> Through:
-        """Wait for the answer's end and return how it came."""
-        return await self._through
+    async def wait_transferred(self) -> ResponseTransfer:
+        """Wait until the response's transfer ends, and return how."""
+        return await self._transfer
 
-    def end_answer(self, through: Through) -> None:
-        """Tell how the answer to the entry ended."""
-        if not self._through.done():
-            self._through.set_result(through)
+    def end_transfer(self, transfer: ResponseTransfer) -> None:
+        """Record how the transfer to the entry ended, once."""
+        if not self._transfer.done():
+            self._transfer.set_result(transfer)
 
-    def conclude(self, final: Conclusion) -> None:
-        """Set the final answer, once."""
+    def conclude(self, final: RequestResult) -> None:
+        """Set the final result, once."""
         if not self.final.done():
             self.final.set_result(final)
 
 
-async def send_answer(request: HandedOver, answered: Answered, load: wire.Load) -> None:
-    """Send an answer to the entry; raise if the target breaks it off.
+async def send_response(
+    request: HandedOverRequest, received: ResponseReceived, load: wire.Load
+) -> None:
+    """Send a response to the entry; raise if the target ends it early.
 
-    A short answer is one frame. Of a longer one only the last frame makes it whole:
-    an entry that misses it never passes the rest off as all of it.
+    A short response is one frame. A longer one is complete only with its last frame:
+    an entry that doesn't receive it never reports a truncated response as complete.
     """
-    answer, link, name = answered.answer, request.link, request.head.request
-    head = wire.AnswerHead(request=name, status=answer.status)
-    head.outcome = "" if answered.outcome is None else answered.outcome.value
+    response, link, name = received.response, request.link, request.head.request
+    head = wire.AnswerHead(request=name, status=response.status)
+    head.outcome = "" if received.outcome is None else received.outcome.value
     head.headers.extend(
-        wire.Header(name=header, value=text) for header, text in answer.headers
+        wire.Header(name=header, value=text) for header, text in response.headers
     )
-    head.body = answer.first
-    head.whole = answer.rest is None
+    head.body = response.body_start
+    head.whole = response.open_response is None
     head.load.CopyFrom(load)
     await link.send(wire.AnswerFrame(head=head))
-    if answer.rest is None:
+    if response.open_response is None:
         return
-    async for part in answer.rest.content.iter_chunked(CHUNK_BYTES):
-        await link.send(wire.AnswerFrame(chunk=part))
+    async for chunk in response.open_response.content.iter_chunked(CHUNK_BYTES):
+        await link.send(wire.AnswerFrame(chunk=chunk))
     await link.send(wire.AnswerFrame(end=wire.AnswerEnd(request=name)))
 
 
-async def send_refusal(request: HandedOver, given_up: GivenUp, now_ms: float) -> None:
-    """Send the final word on a request without an answer."""
+async def send_refusal(
+    request: HandedOverRequest, failure: GivenUp, now_ms: float
+) -> None:
+    """Send the failure of a request that has no response."""
     refusal = wire.Refusal(
         request=request.head.request,
-        outcome=given_up.outcome.value,
-        reason=given_up.reason,
-        retry_after_ms=max(0.0, given_up.retry_at_ms - now_ms),
+        outcome=failure.outcome.value,
+        reason=failure.reason,
+        retry_after_ms=max(0.0, failure.retry_at_ms - now_ms),
     )
     await request.link.send(wire.AnswerFrame(refusal=refusal))
 
 
-async def first_frame(link: HomeLink) -> wire.RequestHead:
-    """Return the head that opens a hand-over; raise ``PeerError`` for others."""
+async def receive_head(link: CoordinatorLink) -> wire.RequestHead:
+    """Return a hand-over's first frame; raise ``PeerError`` if it is not a head."""
     frame = await link.receive()
     if frame.WhichOneof("frame") != "head":
         raise PeerError("a hand-over must begin with its head")
--- a/src/crocusspindle/services/home.py
+++ b/src/crocusspindle/services/home.py
@@ -1,4 +1,4 @@
-"""Serve as the home of groups of targets: one runner for each group."""
+"""Coordinate groups of targets: one runner for each group."""
 
 import asyncio
 import random
@@ -34,15 +34,15 @@
 from crocusspindle.services.group_meter import GroupMeter
 from crocusspindle.services.group_runner import GroupRunner
 from crocusspindle.services.handed_over import (
-    Answered,
     GivenUp,
-    HandedOver,
-    Through,
-    first_frame,
-    send_answer,
+    HandedOverRequest,
+    ResponseReceived,
+    ResponseTransfer,
+    receive_head,
     send_refusal,
+    send_response,
 )
-from crocusspindle.services.links import HomeLink
+from crocusspindle.services.links import CoordinatorLink
 from crocusspindle.services.peers import PEER_FAILURES, Peers
 from crocusspindle.services.targets import TargetClient
 from crocusspindle.settings_schema import LimitSettings
@@ -50,13 +50,14 @@
 
 Group = tuple[ServiceId, int]
 
-HOME_UNFIT: Final = "home-unfit"
-QUEUED_AFTER_S: Final = 0.02
-"""A request that ends sooner needs no word that it is queued, and its answer costs
-one message less. Far below the 150 ms after which an entry tries the next home."""
+COORDINATOR_UNFIT: Final = "home-unfit"
+QUEUED_FRAME_DELAY_S: Final = 0.02
+"""A request that ends sooner needs no queued frame, which saves a message. Far below
+the 150 ms after which an entry tries the next coordinator."""
 
-OPINION_MS: Final = 250.0
-"""A try from another failure domain takes about 25 ms and two hops of 1.5 ms."""
+SECOND_OPINION_TIMEOUT_MS: Final = 250.0
+"""A connection attempt from another failure domain takes about 25 ms and two hops of
+1.5 ms."""
 
 
 class HomeService(Service):
@@ -78,12 +79,12 @@
         self._metrics = metrics
         self._client = TargetClient()
         self._runners: dict[Group, GroupRunner] = {}
-        self._numbers = count(1)
+        self._request_numbers = count(1)
         self._logger = Logger("home")
-        control.watch(change=self._change, targets=self._take_targets)
+        control.watch(change=self._apply_change, targets=self._update_targets)
 
     async def start(self) -> None:
-        """Open the client for targets."""
+        """Start the target client."""
         await self._client.start()
 
     async def stop(self) -> None:
@@ -94,99 +95,106 @@
 
     @property
     def busy(self) -> bool:
-        """Return True while requests wait or run here."""
+        """Return True while requests are queued or running here."""
         return any(runner.busy for runner in self._runners.values())
 
-    async def serve(self, link: HomeLink) -> None:
-        """Take one request from its entry and send its final answer."""
-        head = await first_frame(link)
-        request = HandedOver(
-            number=RequestId(next(self._numbers)),
+    async def serve(self, link: CoordinatorLink) -> None:
+        """Receive one request from its entry and send its final result."""
+        head = await receive_head(link)
+        request = HandedOverRequest(
+            number=RequestId(next(self._request_numbers)),
             head=head,
             link=link,
             deadline_ms=now_ms() + head.remaining_ms,
             final=asyncio.get_running_loop().create_future(),
         )
         if not self._control.is_eligible():
-            unfit = GivenUp(Outcome.NOT_RUN, HOME_UNFIT, now_ms())
-            await send_refusal(request, unfit, now_ms())
+            refusal = GivenUp(Outcome.NOT_RUN, COORDINATOR_UNFIT, now_ms())
+            await send_refusal(request, refusal, now_ms())
             return
-        runner = self._runner((ServiceId(head.service), head.group))
+        runner = self._get_runner((ServiceId(head.service), head.group))
         if now_ms() < runner.declines_until_ms and head.may_move:
-            unfit = GivenUp(Outcome.NOT_RUN, HOME_UNFIT, now_ms())
-            await send_refusal(request, unfit, now_ms())
+            refusal = GivenUp(Outcome.NOT_RUN, COORDINATOR_UNFIT, now_ms())
+            await send_refusal(request, refusal, now_ms())
             return
         runner.arrive(request)
         try:
-            await self._see_through(runner, request)
+            await self._await_result(runner, request)
         finally:
             runner.withdraw(request)
             runner.forget(request)
 
-    async def _see_through(self, runner: GroupRunner, request: HandedOver) -> None:
-        reader = asyncio.create_task(request.read())
-        waiting: set[asyncio.Future[Any]] = {reader, request.final}
-        first = asyncio.FIRST_COMPLETED
+    async def _await_result(
+        self, runner: GroupRunner, request: HandedOverRequest
+    ) -> None:
+        reading = asyncio.create_task(request.read())
+        pending: set[asyncio.Future[Any]] = {reading, request.final}
+        first_completed = asyncio.FIRST_COMPLETED
         try:
-            await asyncio.wait(waiting, timeout=QUEUED_AFTER_S, return_when=first)
-            if not request.final.done() and not reader.done():
+            await asyncio.wait(
+                pending, timeout=QUEUED_FRAME_DELAY_S, return_when=first_completed
+            )
+            if not request.final.done() and not reading.done():
                 queued = wire.Queued(load=load_message(runner.load()))
                 await request.link.send(wire.AnswerFrame(queued=queued))
-                await asyncio.wait(waiting, return_when=first)
+                await asyncio.wait(pending, return_when=first_completed)
             if request.final.done():
                 await self._send_final(runner, request, request.final.result())
         finally:
-            reader.cancel()
+            reading.cancel()
             with suppress(asyncio.CancelledError, *PEER_FAILURES):
-                await reader
+                await reading
 
     async def _send_final(
-        self, runner: GroupRunner, request: HandedOver, final: Answered | GivenUp
+        self,
+        runner: GroupRunner,
+        request: HandedOverRequest,
+        final: ResponseReceived | GivenUp,
     ) -> None:
         if isinstance(final, GivenUp):
             await send_refusal(request, final, now_ms())
             return
-        through = Through.ENTRY_GONE
+        transfer = ResponseTransfer.ENTRY_LOST
         try:
-            await send_answer(request, final, load_message(runner.load()))
-            through = Through.WHOLE
+            await send_response(request, final, load_message(runner.load()))
+            transfer = ResponseTransfer.COMPLETE
         except aiohttp.ClientError:
-            # The target broke off; the stream to the entry ends without its last
-            # frame, which shows the caller a cut answer.
-            through = Through.TARGET_BROKE
+            # The stream to the entry ends without its last frame, so that the caller
+            # sees a truncated response.
+            transfer = ResponseTransfer.TARGET_FAILED
             raise PeerError("the target broke the answer off") from None
         finally:
-            request.end_answer(through)
+            request.end_transfer(transfer)
 
     async def try_target(self, target: TargetId, remaining_ms: float) -> bool:
-        """Return True if this node reaches a target, as a second opinion."""
+        """Return True if this node can connect to a target, as a second opinion."""
         return await self._client.try_target(target, now_ms() + remaining_ms)
 
     def groups(
         self,
     ) -> list[tuple[ServiceId, CoordinatorStatus, tuple[TargetHealth, ...]]]:
-        """Return the groups homed here as they stand."""
+        """Return the status and target health of each group coordinated here."""
         return [
             (service, *runner.status())
             for (service, _), runner in self._runners.items()
         ]
 
     def status(self) -> list[dict[str, Any]]:
-        """Return what operators see of the groups homed here."""
-        found = []
+        """Return the groups coordinated here as operators see them."""
+        groups_status = []
         for (service, group), runner in self._runners.items():
-            home, health = runner.status()
-            found.append(
+            coordinator, health = runner.status()
+            groups_status.append(
                 {
                     "service": service,
                     "group": group,
-                    "home": asdict(home),
+                    "home": asdict(coordinator),
                     "targets": [asdict(target) for target in health],
                 }
             )
-        return found
+        return groups_status
 
-    def _runner(self, group: Group) -> GroupRunner:
+    def _get_runner(self, group: Group) -> GroupRunner:
         runner = self._runners.get(group)
         if runner is not None:
             return runner
@@ -202,10 +210,10 @@
             settings=settings,
             health=health,
             client=self._client,
-            rights=self._control,
-            generator=random.Random(),
-            on_health=self._note_health,
-            opinion=self._opinion,
+            permissions=self._control,
+            rng=random.Random(),
+            on_health=self._report_health_change,
+            second_opinion=self._second_opinion,
             meter=GroupMeter(group[0], self._metrics),
         )
         self._runners[group] = runner
@@ -221,41 +229,41 @@
         listed = self._control.targets[service]
         return tuple(target for target in listed if target.target in members)
 
-    def _take_targets(self) -> None:
+    def _update_targets(self) -> None:
         for group, runner in self._runners.items():
             runner.set_targets(self._targets_of(group))
 
-    def _change(self, change: Change) -> None:
-        # A request may wait up to its deadline, and its key go meanwhile.
+    def _apply_change(self, change: Change) -> None:
+        # A request may be queued up to its deadline, and its key withdrawn meanwhile.
         for runner in self._runners.values():
             for digest in change.withdrawn:
                 runner.revoke(digest)
 
-    async def _opinion(self, target: TargetId) -> bool:
+    async def _second_opinion(self, target: TargetId) -> bool:
         """Ask a node of another failure domain to try a target."""
-        for member in self._askable():
+        for member in self._opinion_candidates():
             with suppress(*PEER_FAILURES):
-                async with asyncio.timeout(OPINION_MS / 1e3):
+                async with asyncio.timeout(SECOND_OPINION_TIMEOUT_MS / 1e3):
                     reply = await self._peers.stub(member).TryTarget(
                         wire.TryTargetRequest(
-                            target=target, remaining_ms=OPINION_MS / 2
+                            target=target, remaining_ms=SECOND_OPINION_TIMEOUT_MS / 2
                         ),
                         metadata=self._peers.metadata,
                     )
                 return bool(reply.reached)
         raise PeerError("no node of another failure domain answered")
 
-    def _askable(self) -> list[MemberId]:
+    def _opinion_candidates(self) -> list[MemberId]:
         own = self._control.me.domain
-        others = [
+        candidates = [
             member.member
             for member in self._peers.members()
             if member.domain != own and self._peers.usable(member.member)
         ]
-        random.shuffle(others)
-        return others[:2]
+        random.shuffle(candidates)
+        return candidates[:2]
 
-    def _note_health(self, runner: GroupRunner, change: HealthChange) -> None:
+    def _report_health_change(self, runner: GroupRunner, change: HealthChange) -> None:
         kind = type(change).__name__
         service = runner.name.rpartition("/")[0]
         self._metrics.add(instruments.HEALTH_CHANGES, service=service, change=kind)
@@ -265,7 +273,7 @@
 
 
 def load_message(load: CoordinatorLoad) -> wire.Load:
-    """Return a group's load as entries get it."""
+    """Return a group's load as the message for entries."""
     return wire.Load(
         queued=load.queued,
         running=load.running,
--- a/src/crocusspindle/services/links.py
+++ b/src/crocusspindle/services/links.py
@@ -1,4 +1,4 @@
-"""Carry hand-over frames between an entry and a home, near or far."""
+"""Carry hand-over frames between an entry and a coordinator, local or remote."""
 
 import asyncio
 from typing import Final, Generic, Protocol, TypeVar
@@ -9,27 +9,27 @@
 from crocusspindle.errors import PeerError
 from crocusspindle.wire import fleet_pb2 as wire
 
-FRAMES_UNDER_WAY: Final = 4
-"""Frames of up to 64 KB that one side may be ahead within a process."""
+MAX_BUFFERED_FRAMES: Final = 4
+"""Frames of up to 64 KB that are buffered in each direction within a process."""
 
 Sent = TypeVar("Sent")
 Received = TypeVar("Received")
 
-LAST_FRAMES: Final = ("end", "refusal")
+FINAL_FRAMES: Final = ("end", "refusal")
 
 
 class EntryLink(Protocol):
     """Hold the entry's end of one request."""
 
     async def send(self, frame: wire.HandOverFrame) -> None:
-        """Send a frame to the home."""
+        """Send a frame to the coordinator."""
 
     async def receive(self) -> wire.AnswerFrame:
         """Return the next frame; raise ``PeerError`` when there is none."""
 
 
-class HomeLink(Protocol):
-    """Hold the home's end of one request."""
+class CoordinatorLink(Protocol):
+    """Hold the coordinator's end of one request."""
 
     async def send(self, frame: wire.AnswerFrame) -> None:
         """Send a frame to the entry."""
@@ -39,17 +39,17 @@
 
 
 class RemoteEntryLink:
-    """Reach a home on another node."""
+    """Link an entry to a coordinator on another node."""
 
     def __init__(
         self, stream: ClientStream[wire.HandOverFrame, wire.AnswerFrame]
     ) -> None:
         self._stream = stream
         self._sent = False
-        self._whole = False
+        self._complete = False
 
     async def send(self, frame: wire.HandOverFrame) -> None:
-        """Send a frame to the home."""
+        """Send a frame to the coordinator."""
         await self._stream.send_message(frame)
         self._sent = True
 
@@ -57,20 +57,20 @@
         """Return the next frame; raise ``PeerError`` when there is none."""
         frame = await self._stream.recv_message()
         if frame is None:
-            raise PeerError("the home ended the stream")
-        self._whole = frame.WhichOneof("frame") in LAST_FRAMES or frame.head.whole
+            raise PeerError("the coordinator ended the stream")
+        self._complete = frame.WhichOneof("frame") in FINAL_FRAMES or frame.head.whole
         return frame
 
     async def close(self) -> None:
-        """End the stream, or cancel it while the home still works on it."""
-        if self._whole:
+        """End the stream, or cancel it while the coordinator is not finished."""
+        if self._complete:
             await self._stream.end()
         elif self._sent:
             await self._stream.cancel()
 
 
-class RemoteHomeLink:
-    """Reach the entry on another node."""
+class RemoteCoordinatorLink:
+    """Link a coordinator to an entry on another node."""
 
     def __init__(
         self, stream: ServerStream[wire.HandOverFrame, wire.AnswerFrame]
@@ -93,25 +93,27 @@
     """Hold one end of a link within one process."""
 
     def __init__(
-        self, sending: asyncio.Queue[Sent], receiving: asyncio.Queue[Received]
+        self, outgoing: asyncio.Queue[Sent], incoming: asyncio.Queue[Received]
     ) -> None:
-        self._sending = sending
-        self._receiving = receiving
+        self._outgoing = outgoing
+        self._incoming = incoming
 
     async def send(self, frame: Sent) -> None:
-        """Send a frame to the other end, once it is not too far behind."""
-        await self._sending.put(frame)
+        """Send a frame to the other end; wait while the buffer is full."""
+        await self._outgoing.put(frame)
 
     async def receive(self) -> Received:
         """Return the next frame."""
-        return await self._receiving.get()
+        return await self._incoming.get()
 
 
 class LocalLink:
-    """Join an entry and a home of the same process."""
+    """Link an entry and a coordinator of the same process."""
 
     def __init__(self) -> None:
-        to_home: asyncio.Queue[wire.HandOverFrame] = asyncio.Queue(FRAMES_UNDER_WAY)
-        to_entry: asyncio.Queue[wire.AnswerFrame] = asyncio.Queue(FRAMES_UNDER_WAY)
-        self.entry = LocalEnd(to_home, to_entry)
-        self.home = LocalEnd(to_entry, to_home)
+        to_coordinator: asyncio.Queue[wire.HandOverFrame] = asyncio.Queue(
+            MAX_BUFFERED_FRAMES
+        )
+        to_entry: asyncio.Queue[wire.AnswerFrame] = asyncio.Queue(MAX_BUFFERED_FRAMES)
+        self.entry = LocalEnd(to_coordinator, to_entry)
+        self.coordinator = LocalEnd(to_entry, to_coordinator)
--- a/src/crocusspindle/services/ports.py
+++ b/src/crocusspindle/services/ports.py
@@ -26,7 +26,7 @@
 from crocusspindle.services.follower import target_message
 from crocusspindle.services.home import HomeService
 from crocusspindle.services.ledger import LedgerService, answer_from, attempt_from
-from crocusspindle.services.links import RemoteHomeLink
+from crocusspindle.services.links import RemoteCoordinatorLink
 from crocusspindle.services.operations import begin_reply
 from crocusspindle.services.peers import (
     FLEET_KEY_HEADER,
@@ -40,8 +40,8 @@
 
 Asked = TypeVar("Asked")
 
-BUSY_LOOK_S: Final = 0.05
-TAIL_MAX: Final = 500
+BUSY_POLL_S: Final = 0.05
+MAX_TAIL_TICKETS: Final = 500
 
 
 class PeerServer(FleetBase):
@@ -51,16 +51,16 @@
         self,
         control: ControlService,
         rates: RatesService,
-        home: HomeService,
+        coordinator: HomeService,
         ledger: LedgerService,
     ) -> None:
         self._control = control
         self._ledger = ledger
         self._rates = rates
-        self._home = home
+        self._coordinator = coordinator
 
     async def Heartbeat(self, stream: Stream[wire.Beat, wire.Echo]) -> None:
-        """Echo the beats of a peer for as long as it sends them."""
+        """Echo the heartbeats of a peer for as long as it sends them."""
         async for beat in stream:
             self._control.record_message(MemberId(beat.member), beat.standing)
             if beat.HasField("joining"):
@@ -76,17 +76,17 @@
     async def HandOver(
         self, stream: Stream[wire.HandOverFrame, wire.AnswerFrame]
     ) -> None:
-        """Serve a request as the home of its targets."""
+        """Serve a request as the coordinator of its targets."""
         try:
-            await self._home.serve(RemoteHomeLink(stream))
+            await self._coordinator.serve(RemoteCoordinatorLink(stream))
         except PeerError as error:
             raise GRPCError(Status.ABORTED, str(error)) from error
 
     async def Lend(self, stream: Stream[wire.LendRequest, wire.LendReply]) -> None:
         """Lend tokens of a customer's share."""
-        asked = await _request(stream)
-        customer = CustomerId(asked.customer)
-        loan = await self._rates.lend_whole(customer, asked.missing)
+        message = await _receive_message(stream)
+        customer = CustomerId(message.customer)
+        loan = await self._rates.lend_whole_token(customer, message.missing)
         await stream.send_message(
             wire.LendReply(
                 amount=loan.amount,
@@ -98,9 +98,9 @@
         )
 
     async def Tail(self, stream: Stream[wire.TailRequest, wire.TailReply]) -> None:
-        """Give applied tickets, the view and the age of this node's stamp."""
-        asked = await _request(stream)
-        after, limit = TicketNumber(asked.after), min(asked.limit, TAIL_MAX)
+        """Send applied tickets, the view and the age of the freshness timestamp."""
+        message = await _receive_message(stream)
+        after, limit = TicketNumber(message.after), min(message.limit, MAX_TAIL_TICKETS)
         age_ms = self._control.fitness.stamp_age_ms(now_ms())
         reply = wire.TailReply(
             tickets=self._control.tail(after, limit) or [],
@@ -114,8 +114,8 @@
     async def Snapshot(
         self, stream: Stream[wire.SnapshotRequest, wire.SnapshotReply]
     ) -> None:
-        """Give the whole directory as of the last applied ticket."""
-        await _request(stream)
+        """Send the whole directory as of the last applied ticket."""
+        await _receive_message(stream)
         reply = wire.SnapshotReply(
             applied_ticket=self._control.log.applied,
             content=dump(self._control.directory),
@@ -125,8 +125,8 @@
     async def Targets(
         self, stream: Stream[wire.TargetsRequest, wire.TargetsReply]
     ) -> None:
-        """Give the host list that this node holds."""
-        await _request(stream)
+        """Send the host list that this node holds."""
+        await _receive_message(stream)
         reply = wire.TargetsReply(age_ms=now_ms() - self._control.targets_read_ms)
         reply.targets.extend(
             target_message(target)
@@ -138,20 +138,20 @@
     async def TryTarget(
         self, stream: Stream[wire.TryTargetRequest, wire.TryTargetReply]
     ) -> None:
-        """Try a target for a home in another failure domain."""
-        asked = await _request(stream)
-        began_ms = now_ms()
-        reached = await self._home.try_target(
-            TargetId(asked.target), asked.remaining_ms
+        """Try a target for a coordinator in another failure domain."""
+        message = await _receive_message(stream)
+        started_ms = now_ms()
+        reached = await self._coordinator.try_target(
+            TargetId(message.target), message.remaining_ms
         )
-        reply = wire.TryTargetReply(reached=reached, latency_ms=now_ms() - began_ms)
+        reply = wire.TryTargetReply(reached=reached, latency_ms=now_ms() - started_ms)
         await stream.send_message(reply)
 
     async def Begin(self, stream: Stream[wire.BeginRequest, wire.BeginReply]) -> None:
         """Decide on an operation whose record this node holds."""
-        asked = await _request(stream)
+        message = await _receive_message(stream)
         decision = await self._ledger.begin(
-            operation_name(asked), attempt_from(asked.attempt), asked.fingerprint
+            operation_name(message), attempt_from(message.attempt), message.fingerprint
         )
         await stream.send_message(begin_reply(decision))
 
@@ -159,36 +159,38 @@
         self, stream: Stream[wire.RecordBegunRequest, wire.RecordBegunReply]
     ) -> None:
         """Record an operation for its other holder."""
-        await stream.send_message(self._ledger.record(await _request(stream)))
+        await stream.send_message(self._ledger.record(await _receive_message(stream)))
 
     async def Settle(
         self, stream: Stream[wire.SettleRequest, wire.SettleReply]
     ) -> None:
-        """Take an entry's word on the end of an operation."""
-        asked = await _request(stream)
-        answer = answer_from(asked.answer) if asked.HasField("answer") else None
-        self._ledger.settle(operation_name(asked), attempt_from(asked.attempt), answer)
+        """Record the end of an operation as its entry reports it."""
+        message = await _receive_message(stream)
+        response = answer_from(message.answer) if message.HasField("answer") else None
+        self._ledger.settle(
+            operation_name(message), attempt_from(message.attempt), response
+        )
         await stream.send_message(wire.SettleReply())
 
     async def PeerSettled(
         self, stream: Stream[wire.PeerSettledRequest, wire.PeerSettledReply]
     ) -> None:
-        """Take the other holder's word on the end of an operation."""
-        asked = await _request(stream)
-        self._ledger.peer_settled(decode_record(asked.record))
+        """Record the end of an operation as the other holder reports it."""
+        message = await _receive_message(stream)
+        self._ledger.peer_settled(decode_record(message.record))
         await stream.send_message(wire.PeerSettledReply())
 
 
-def operation_name(asked: wire.BeginRequest | wire.SettleRequest) -> OperationName:
+def operation_name(message: wire.BeginRequest | wire.SettleRequest) -> OperationName:
     """Return the name of the operation that a message is about."""
-    return OperationName(CustomerId(asked.customer), OperationKey(asked.key))
+    return OperationName(CustomerId(message.customer), OperationKey(message.key))
 
 
-async def _request(stream: Stream[Asked, Any]) -> Asked:
-    asked = await stream.recv_message()
-    if asked is None:
+async def _receive_message(stream: Stream[Asked, Any]) -> Asked:
+    message = await stream.recv_message()
+    if message is None:
         raise GRPCError(Status.INVALID_ARGUMENT, "the request is missing")
-    return asked
+    return message
 
 
 class PeerPort(Service):
@@ -199,14 +201,14 @@
 
     def __init__(
         self,
-        listening: socket.socket,
+        listening_socket: socket.socket,
         server: PeerServer,
-        proof: str,
+        fleet_key_proof: str,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        self._socket = listening
+        self._socket = listening_socket
         self._server = Server([server], config=wire_configuration())
-        self._proof = proof
+        self._fleet_key_proof = fleet_key_proof
         self._tls = tls
 
     async def start(self) -> None:
@@ -220,30 +222,32 @@
         await self._server.wait_closed()
 
     async def _check(self, event: RecvRequest) -> None:
-        shown = str(event.metadata.get(FLEET_KEY_HEADER, ""))
-        if not hmac.compare_digest(shown.encode(), self._proof.encode()):
+        presented_proof = str(event.metadata.get(FLEET_KEY_HEADER, ""))
+        if not hmac.compare_digest(
+            presented_proof.encode(), self._fleet_key_proof.encode()
+        ):
             raise GRPCError(Status.UNAUTHENTICATED, "not a node of this fleet")
 
 
 class CallerPort(Service):
-    """Serve the port for callers, and empty it ahead of a planned stop."""
+    """Serve the port for callers, and drain it before a planned stop."""
 
     name = "caller_port"
     needs = ("entry", "follower")
 
     def __init__(
         self,
-        listening: socket.socket,
+        listening_socket: socket.socket,
         settings: CallerSettings,
         entry: EntryService,
-        home: HomeService,
+        coordinator: HomeService,
         where_max_age_ms: float,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        self._socket = listening
+        self._socket = listening_socket
         self._settings = settings
         self._entry = entry
-        self._home = home
+        self._coordinator = coordinator
         self._where_max_age_ms = where_max_age_ms
         self._tls = tls
         self._runner: web.ServerRunner | None = None
@@ -262,8 +266,8 @@
         await web.SockSite(self._runner, self._socket, ssl_context=self._tls).start()
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        # Each open connection holds memory. Above the bound a caller gets a true
-        # word and goes elsewhere, before the node is lost with all it serves.
+        # Each open connection holds memory. Above the limit a caller is refused and
+        # goes elsewhere, before the node runs out of memory.
         if self.connections > self._settings.max_connections:
             response = words.TOO_MANY_CONNECTIONS.response("none")
             response.force_close()
@@ -271,12 +275,12 @@
         return await self._entry.handle(request)
 
     async def drain(self) -> None:
-        """Serve on while callers may keep our address, then finish what runs."""
+        """Serve while callers may cache this address, then finish running requests."""
         until_ms = now_ms() + self._where_max_age_ms
         await asyncio.sleep(max(0.0, until_ms - now_ms()) / 1e3)
-        while self._entry.running or self._home.busy:
-            # Both change with every request: an event each would cost more.
-            await asyncio.sleep(BUSY_LOOK_S)
+        while self._entry.running or self._coordinator.busy:
+            # Polled, since both change with every request and events would cost more.
+            await asyncio.sleep(BUSY_POLL_S)
 
     async def stop(self) -> None:
         """Close the port."""
@@ -291,19 +295,19 @@
 
     def __init__(
         self,
-        listening: socket.socket,
+        listening_socket: socket.socket,
         app: Callable[[], Awaitable[web.Application]],
         needs: tuple[str, ...] = (),
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        self._socket = listening
+        self._socket = listening_socket
         self._app = app
         self.needs = needs  # type: ignore[misc] # one class, several ports
         self._tls = tls
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen for requests."""
         self._runner = web.AppRunner(await self._app(), access_log=None)
         await self._runner.setup()
         await web.SockSite(self._runner, self._socket, ssl_context=self._tls).start()
--- a/src/crocusspindle/services/rates.py
+++ b/src/crocusspindle/services/rates.py
@@ -1,4 +1,4 @@
-"""Take tokens for requests from the fleet's shares, here or at other holders."""
+"""Spend customers' tokens from local shares, or borrow them from other holders."""
 
 import asyncio
 from typing import Final
@@ -31,13 +31,13 @@
 from crocusspindle.wire import fleet_pb2 as wire
 
 LEND_TIMEOUT_S: Final = 0.1
-"""A loan takes a round trip of 3 ms between failure domains; a holder that needs
-30 times that is paused or gone, and another one is asked."""
+"""A loan takes a round trip of 3 ms between failure domains. A holder that needs 30
+times that is paused or lost, and another one gets the loan request."""
 
-MAX_QUESTIONS: Final = 16
-"""Questions for tokens of one try: twice each holder of the largest customer."""
+MAX_LOAN_REQUESTS: Final = 16
+"""Loan requests of one try: two for each holder of the largest customer."""
 
-ACTIVATION_S: Final = 0.25
+ACTIVATION_INTERVAL_S: Final = 0.25
 
 
 class RatesService(Service):
@@ -61,32 +61,32 @@
             control.me.member,
             self._limit_of,
         )
-        self._placement = HolderSelector(())
-        self._gathering: set[CustomerId] = set()
-        control.watch(change=self._change, view=self._take_view)
+        self._holder_selector = HolderSelector(())
+        self._gathering_customers: set[CustomerId] = set()
+        control.watch(change=self._apply_change, view=self._update_view)
 
     async def start(self) -> None:
-        """Begin to watch for views that a majority knows."""
+        """Start activating shares in views that a majority has confirmed."""
         self.spawn(self._activate())
 
     async def spend(self, customer: CustomerId) -> Spent | OverRate | Ineligible:
-        """Take one token, borrowing what is missing from other holders."""
-        begun_ms = now_ms()
-        result = await self._try(customer)
+        """Spend one token, borrowing a missing amount from other holders."""
+        started_ms = now_ms()
+        result = await self._try_spend(customer)
         tries = 1
-        while isinstance(result, OverRate) and result.waits(begun_ms, tries):
+        while isinstance(result, OverRate) and result.waits(started_ms, tries):
             await asyncio.sleep(max(0.0, result.retry_at_ms - now_ms()) / 1000.0)
-            result = await self._try(customer)
+            result = await self._try_spend(customer)
             tries += 1
         if isinstance(result, Spent):
-            self._level(customer)
+            self._balance(customer)
         return result
 
-    async def _try(self, customer: CustomerId) -> Spent | OverRate | Ineligible:
+    async def _try_spend(self, customer: CustomerId) -> Spent | OverRate | Ineligible:
         result = self._ledger.spend(
             customer, self._control.eligible_until_ms(), now_ms()
         )
-        for _ in range(MAX_QUESTIONS):
+        for _ in range(MAX_LOAN_REQUESTS):
             if not isinstance(result, Borrow):
                 return result
             result = await self._borrow(customer, result)
@@ -95,7 +95,7 @@
         return result
 
     def refund(self, customer: CustomerId, spent: Spent) -> None:
-        """Put back the token of a request that certainly was not run."""
+        """Return the token of a request that certainly has not run."""
         self._ledger.refund(customer, spent.spent_at_ms, now_ms())
 
     def lend(self, customer: CustomerId, missing: float) -> Loan:
@@ -104,69 +104,69 @@
         eligible_until_ms = self._control.eligible_until_ms()
         return self._ledger.lend(customer, missing, eligible_until_ms, now_ms())
 
-    async def lend_whole(self, customer: CustomerId, missing: float) -> Loan:
-        """Lend tokens, gathering a whole one from other holders if need be.
+    async def lend_whole_token(self, customer: CustomerId, missing: float) -> Loan:
+        """Lend tokens, gathering a whole one from other holders if necessary.
 
-        Two holders never gather from each other: one that is gathering answers with
-        what it has.
+        Two holders never gather from each other: one that is gathering lends what it
+        has.
         """
         loan = self.lend(customer, missing)
-        if missing < 1.0 or customer in self._gathering:
+        if missing < 1.0 or customer in self._gathering_customers:
             return loan
-        self._gathering.add(customer)
+        self._gathering_customers.add(customer)
         try:
             for _ in range(MAX_GATHERS):
-                asked = self._ledger.gather(customer, missing, now_ms())
-                if loan.amount > 0.0 or asked is None:
+                borrow = self._ledger.gather(customer, missing, now_ms())
+                if loan.amount > 0.0 or borrow is None:
                     break
-                await self._collect(customer, asked)
+                await self._collect_loan(customer, borrow)
                 loan = self.lend(customer, missing)
         finally:
-            self._gathering.discard(customer)
+            self._gathering_customers.discard(customer)
         loop = asyncio.get_running_loop()
-        loop.call_later(TOP_UP_MS / 1000.0, self._level, customer)
+        loop.call_later(TOP_UP_MS / 1000.0, self._balance, customer)
         return loan
 
-    def _level(self, customer: CustomerId) -> None:
-        """Ask for idle tokens where own ones were used, besides the request."""
-        asked = self._ledger.top_up(customer, now_ms())
-        if asked is not None:
-            self.spawn(self._collect(customer, asked))
+    def _balance(self, customer: CustomerId) -> None:
+        """Request idle tokens in the background, in place of spent ones."""
+        borrow = self._ledger.top_up(customer, now_ms())
+        if borrow is not None:
+            self.spawn(self._collect_loan(customer, borrow))
 
-    async def _collect(self, customer: CustomerId, asked: Borrow) -> None:
-        lender, asked_ms = asked.holders[0], now_ms()
-        loan = await self._ask(customer, lender, asked.missing)
+    async def _collect_loan(self, customer: CustomerId, borrow: Borrow) -> None:
+        lender, sent_ms = borrow.holders[0], now_ms()
+        loan = await self._request_loan(customer, lender, borrow.missing)
         if loan is None:
             self._ledger.record_timeout(customer, lender, now_ms())
         else:
-            self._ledger.credit_loan(customer, loan, lender, asked_ms, now_ms())
+            self._ledger.credit_loan(customer, loan, lender, sent_ms, now_ms())
 
     def holders(self, customer: Customer) -> tuple[MemberId, ...]:
         """Return the members that hold a customer's shares."""
         count = holder_count(customer.rate_per_s, customer.burst)
-        return self._placement.holders(customer.customer, count)
+        return self._holder_selector.holders(customer.customer, count)
 
     def status(self) -> LedgerStatus:
-        """Return what operators see of the shares held here."""
+        """Return the state of the shares held by this member."""
         return self._ledger.snapshot(now_ms())
 
     def _limit_of(self, customer: CustomerId) -> Customer | None:
         return self._control.directory.customer(customer)
 
-    async def _borrow(self, customer: CustomerId, asked: Borrow) -> SpendResult:
-        lender, asked_ms = asked.holders[0], now_ms()
-        loan = await self._ask(customer, lender, asked.missing)
+    async def _borrow(self, customer: CustomerId, borrow: Borrow) -> SpendResult:
+        lender, sent_ms = borrow.holders[0], now_ms()
+        loan = await self._request_loan(customer, lender, borrow.missing)
         if loan is None:
-            return self._ledger.lost(customer, lender, asked_ms, now_ms())
-        return self._ledger.credit_and_spend(customer, loan, lender, asked_ms, now_ms())
+            return self._ledger.lost(customer, lender, sent_ms, now_ms())
+        return self._ledger.credit_and_spend(customer, loan, lender, sent_ms, now_ms())
 
-    async def _ask(
+    async def _request_loan(
         self, customer: CustomerId, lender: MemberId, missing: float
     ) -> Loan | None:
-        """Return a loan, or nothing where no answer came.
+        """Return a loan, or None without a reply.
 
-        Without one the lender may have subtracted all the same: those tokens are
-        lost, not made.
+        The lender may have subtracted the tokens even so: they are lost, and none are
+        spent twice.
         """
         if not self._peers.connected(lender):
             return None
@@ -186,23 +186,25 @@
             grace_ms=reply.grace_ms,
         )
 
-    def _change(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         now = now_ms()
         for customer in change.ticket.set.customers:
-            former = change.former_limits.get(customer.customer)
-            self._ledger.set_limit(customer, now, former, is_new=former is None)
-        for removed in change.ticket.remove.customers:
-            self._ledger.remove_limit(removed, now)
-
-    def _take_view(self, view: MemberView) -> None:
-        holders = [Holder(one.member, one.domain) for one in view.members]
-        self._placement = HolderSelector(holders)
+            previous_limit = change.former_limits.get(customer.customer)
+            self._ledger.set_limit(
+                customer, now, previous_limit, is_new=previous_limit is None
+            )
+        for customer_id in change.ticket.remove.customers:
+            self._ledger.remove_limit(customer_id, now)
+
+    def _update_view(self, view: MemberView) -> None:
+        holders = [Holder(member.member, member.domain) for member in view.members]
+        self._holder_selector = HolderSelector(holders)
         self._ledger.set_view(view.number, holders, now_ms())
 
     async def _activate(self) -> None:
-        # A new holder may spend once no majority can carry its forerunner.
+        # A new holder spends only once no majority can confirm its predecessor.
         while True:
             view = self._control.view
             if view is not None and self._control.fitness.confirmed(now_ms()):
                 self._ledger.activate(view.number, now_ms())
-            await asyncio.sleep(ACTIVATION_S)
+            await asyncio.sleep(ACTIVATION_INTERVAL_S)
--- a/src/crocusspindle/services/targets.py
+++ b/src/crocusspindle/services/targets.py
@@ -1,4 +1,4 @@
-"""Send one attempt to one target over HTTP and judge how it ended."""
+"""Send one attempt to one target over HTTP and classify its end."""
 
 import asyncio
 from collections.abc import AsyncIterator, Mapping
@@ -20,12 +20,12 @@
 SERVER_ERROR: Final = 500
 
 CONNECT_TIMEOUT_S: Final = 0.3
-"""A new connection takes about 1 ms; a lost first packet is sent again after 200.
-Longer means that nobody answers there, and another target costs less."""
+"""A new connection takes about 1 ms; a lost first packet is resent after 200 ms. After
+a longer time the target is taken as unreachable, and another one costs less."""
 
-ANSWER_BUFFER_BYTES: Final = 65_536
-"""An answer up to this size is taken whole before any of it is handed on, so that
-one which breaks off can still be asked for again elsewhere. Longer ones stream."""
+RESPONSE_BUFFER_BYTES: Final = 65_536
+"""A response up to this size is buffered before any of it is passed on, so that a
+truncated one can still be retried at another target. Longer ones are streamed."""
 
 HOP_BY_HOP: Final = frozenset(
     {
@@ -39,12 +39,12 @@
         "upgrade",
     }
 )
-"""RFC 9110, section 7.6.1: meant for one connection only."""
+"""RFC 9110, section 7.6.1: valid for a single connection only."""
 
 
 @dataclass(frozen=True)
 class TargetRequest:
-    """Hold what is sent to a target; the body is whole or streams once."""
+    """Hold a request for a target; a streamed body can be sent once."""
 
     request: str
     customer: CustomerId
@@ -56,41 +56,43 @@
 
 
 @dataclass
-class TargetAnswer:
-    """Hold an answer whose first part is here and whose rest may still come."""
+class TargetResponse:
+    """Hold a response whose body may still be arriving after its start."""
 
     status: int
     headers: list[tuple[str, str]]
-    first: bytes
-    rest: aiohttp.ClientResponse | None = None
+    body_start: bytes
+    open_response: aiohttp.ClientResponse | None = None
 
 
 @dataclass
 class AttemptResult:
-    """Tell how an attempt ended, with the answer if there is one."""
+    """Hold how an attempt ended, with the response if there is one."""
 
     end: AttemptEnd
     latency_ms: float
-    answer: TargetAnswer | None = None
+    target_response: TargetResponse | None = None
     detail: str = ""
     started_ms: float = field(default_factory=now_ms)
 
 
 def forwarded(headers: Mapping[str, str]) -> list[tuple[str, str]]:
-    """Return the headers that go on to the next hop."""
-    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
-    dropped = HOP_BY_HOP | named
+    """Return the end-to-end headers, which are forwarded to the next hop."""
+    connection_headers = {
+        name.strip().lower() for name in headers.get("Connection", "").split(",")
+    }
+    dropped = HOP_BY_HOP | connection_headers
     return [
         (name, text) for name, text in headers.items() if name.lower() not in dropped
     ]
 
 
 class TargetClient:
-    """Send attempts to targets, each on a connection of its own.
+    """Send attempts to targets, each on a new connection.
 
-    A kept connection can hold a late or doubled answer of the request before, or
-    have gone silent for good. Either gives a caller the wrong answer or none. A
-    new connection costs about 1 ms and can have neither.
+    A reused connection can deliver a late or duplicated response of the previous
+    request, or be dead without notice. Either gives a caller a wrong response or
+    none. A new connection costs about 1 ms and can do neither.
     """
 
     def __init__(self) -> None:
@@ -106,24 +108,24 @@
         )
 
     async def stop(self) -> None:
-        """Close the client and what still runs on it."""
+        """Close the client and its open connections."""
         if self._session is not None:
             await self._session.close()
 
     async def send(self, target: TargetId, request: TargetRequest) -> AttemptResult:
         """Send a request and return how it ended, by its deadline."""
-        began_ms = now_ms()
+        sent_at_ms = now_ms()
         try:
             async with asyncio.timeout(remaining_s(request.deadline_ms)):
                 response = await self._open(target, request)
-                result = await self._judge(response, request)
+                result = await self._evaluate(response, request)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             result = AttemptResult(AttemptEnd.UNSENT, 0.0, detail=str(error))
         except TimeoutError:
-            result = AttemptResult(AttemptEnd.SILENT, 0.0, detail="no answer in time")
+            result = AttemptResult(AttemptEnd.SILENT, 0.0, detail="no response in time")
         except (aiohttp.ClientError, OSError) as error:
             result = AttemptResult(AttemptEnd.FAILED, 0.0, detail=repr(error))
-        result.latency_ms = now_ms() - began_ms
+        result.latency_ms = now_ms() - sent_at_ms
         return result
 
     async def try_target(self, target: TargetId, deadline_ms: float) -> bool:
@@ -142,11 +144,11 @@
     ) -> aiohttp.ClientResponse:
         if self._session is None:
             raise RuntimeError("the target client is not started")
-        left_ms = remaining_s(request.deadline_ms) * 1e3
+        remaining_ms = remaining_s(request.deadline_ms) * 1e3
         headers = CIMultiDict(request.headers)
         headers[REQUEST_ID] = request.request
         headers[CUSTOMER] = request.customer
-        headers[DEADLINE] = f"{left_ms:.0f}"
+        headers[DEADLINE] = f"{remaining_ms:.0f}"
         return await self._session.request(
             request.method,
             f"http://{target}{request.path}",
@@ -156,34 +158,36 @@
             timeout=aiohttp.ClientTimeout(sock_connect=CONNECT_TIMEOUT_S),
         )
 
-    async def _judge(
+    async def _evaluate(
         self, response: aiohttp.ClientResponse, request: TargetRequest
     ) -> AttemptResult:
-        # A target that mixes up its answers would give one customer another's
-        # page. Targets that echo the id are held to it.
+        # A target that mixes up responses would give one customer another's data, so
+        # an echoed request id must match.
         echoed = response.headers.get(REQUEST_ID)
         if echoed is not None and echoed != request.request:
             response.close()
-            return AttemptResult(AttemptEnd.FAILED, 0.0, detail="answer of another")
+            return AttemptResult(
+                AttemptEnd.FAILED, 0.0, detail="response to another request"
+            )
         if response.headers.get(TARGET_OUTCOME) == NOT_RUN:
             response.close()
             return AttemptResult(AttemptEnd.SHED, 0.0)
-        first = await self._first_part(response)
-        answer = TargetAnswer(
-            response.status, forwarded(response.headers), first, response
+        body_start = await self._read_body_start(response)
+        target_response = TargetResponse(
+            response.status, forwarded(response.headers), body_start, response
         )
         if response.content.at_eof():
-            answer.rest = None
+            target_response.open_response = None
             response.release()
         failed = response.status >= SERVER_ERROR
         end = AttemptEnd.FAILED if failed else AttemptEnd.ANSWERED
-        return AttemptResult(end, 0.0, answer)
+        return AttemptResult(end, 0.0, target_response)
 
-    async def _first_part(self, response: aiohttp.ClientResponse) -> bytes:
-        parts = bytearray()
-        while len(parts) < ANSWER_BUFFER_BYTES:
-            part = await response.content.read(ANSWER_BUFFER_BYTES - len(parts))
-            if not part:
+    async def _read_body_start(self, response: aiohttp.ClientResponse) -> bytes:
+        buffer = bytearray()
+        while len(buffer) < RESPONSE_BUFFER_BYTES:
+            chunk = await response.content.read(RESPONSE_BUFFER_BYTES - len(buffer))
+            if not chunk:
                 break
-            parts += part
-        return bytes(parts)
+            buffer += chunk
+        return bytes(buffer)
--- a/src/crocusspindle/services/words.py
+++ b/src/crocusspindle/services/words.py
@@ -1,4 +1,4 @@
-"""Put refusals and failures into words for callers."""
+"""Build the responses to refused and failed requests."""
 
 import json
 import math
@@ -15,9 +15,9 @@
 OUTCOME: Final = "Crocusspindle-Outcome"
 RETRY_AFTER_MS: Final = "Crocusspindle-Retry-After-Ms"
 RAN: Final = "ran"
-REPEATED: Final = "Crocusspindle-Repeated-Answer"
+REPEATED_RESPONSE: Final = "Crocusspindle-Repeated-Answer"
 
-OUTCOME_WORDS: Final[Mapping[Outcome | None, str]] = {
+OUTCOME_TEXTS: Final[Mapping[Outcome | None, str]] = {
     None: RAN,
     Outcome.NOT_RUN: "not-run",
     Outcome.UNKNOWN: "unknown",
@@ -25,26 +25,26 @@
 
 
 @dataclass(frozen=True)
-class Word:
-    """Hold the final word on a request that gets no target's answer."""
+class ErrorResponse:
+    """Describe the response to a request that gets no target's response."""
 
     status: int
     reason: str
     detail: str
     outcome: Outcome | None = Outcome.NOT_RUN
-    """None says that the request ran."""
+    """None means that the request ran."""
     retry_at_ms: float | None = None
     headers: Mapping[str, str] = field(default_factory=dict)
 
     def response(self, request: str) -> web.Response:
-        """Return the HTTP response, with when to come back if that helps."""
+        """Return the HTTP response, with the retry time if there is one."""
         content: dict[str, Any] = {
-            "outcome": OUTCOME_WORDS[self.outcome],
+            "outcome": OUTCOME_TEXTS[self.outcome],
             "reason": self.reason,
             "detail": self.detail,
             "request": request,
         }
-        headers = {OUTCOME: OUTCOME_WORDS[self.outcome], **self.headers}
+        headers = {OUTCOME: OUTCOME_TEXTS[self.outcome], **self.headers}
         if self.retry_at_ms is not None:
             wait_ms = max(1, math.ceil(self.retry_at_ms - now_ms()))
             content["retry_after_ms"] = wait_ms
@@ -59,11 +59,11 @@
 
 
 class RefusedError(Exception):
-    """End the handling of a request with a word to its caller."""
+    """End the handling of a request with an error response to its caller."""
 
-    def __init__(self, word: Word) -> None:
-        super().__init__(word.detail)
-        self.word = word
+    def __init__(self, error_response: ErrorResponse) -> None:
+        super().__init__(error_response.detail)
+        self.error_response = error_response
 
 
 STATUS_BY_REASON: Final[Mapping[str, int]] = {
@@ -72,52 +72,56 @@
 }
 
 
-def given_up_word(given_up: GivenUp) -> Word:
-    """Return the word for a request that the fleet gave up."""
-    if given_up.outcome is Outcome.NOT_RUN:
-        return Word(
-            status=STATUS_BY_REASON.get(given_up.reason, 503),
-            reason=given_up.reason,
+def failure_response(failure: GivenUp) -> ErrorResponse:
+    """Return the error response to a request that the fleet refused or failed."""
+    if failure.outcome is Outcome.NOT_RUN:
+        return ErrorResponse(
+            status=STATUS_BY_REASON.get(failure.reason, 503),
+            reason=failure.reason,
             detail="the request was not run; it may be sent again",
-            retry_at_ms=given_up.retry_at_ms,
+            retry_at_ms=failure.retry_at_ms,
         )
-    return Word(
-        status=STATUS_BY_REASON.get(given_up.reason, 504),
-        reason=given_up.reason,
+    return ErrorResponse(
+        status=STATUS_BY_REASON.get(failure.reason, 504),
+        reason=failure.reason,
         detail="the request may have run; repeat it only with its Idempotency-Key",
         outcome=Outcome.UNKNOWN,
-        retry_at_ms=given_up.retry_at_ms,
+        retry_at_ms=failure.retry_at_ms,
     )
 
 
-UNAUTHENTICATED: Final = Word(
+UNAUTHENTICATED: Final = ErrorResponse(
     401,
     "key",
     "the key is missing, unknown or withdrawn",
     headers={"WWW-Authenticate": "Bearer"},
 )
-INTERNAL: Final = Word(
+INTERNAL: Final = ErrorResponse(
     500,
     "internal",
     "the node failed; the request may have run",
     outcome=Outcome.UNKNOWN,
 )
-ANSWER_NOT_KEPT: Final = Word(
+RESPONSE_NOT_KEPT: Final = ErrorResponse(
     410,
     "answer-not-kept",
     "the operation ran once; its answer was too long to keep",
     outcome=None,
 )
-NO_ROUTE: Final = Word(404, "route", "no service is reached by this path")
-NOT_APPROVED: Final = Word(403, "approval", "the service's owner has not approved you")
-SLOW_SENDER: Final = Word(408, "slow-sender", "the body did not arrive in time")
-CUT_SENDER: Final = Word(400, "body-cut", "the body ended early")
-BAD_TIMEOUT: Final = Word(
+NO_ROUTE: Final = ErrorResponse(404, "route", "no service is reached by this path")
+NOT_APPROVED: Final = ErrorResponse(
+    403, "approval", "the service's owner has not approved you"
+)
+SLOW_SENDER: Final = ErrorResponse(
+    408, "slow-sender", "the body did not arrive in time"
+)
+TRUNCATED_BODY: Final = ErrorResponse(400, "body-cut", "the body ended early")
+BAD_TIMEOUT: Final = ErrorResponse(
     400, "timeout", "Crocusspindle-Timeout-Ms must be a number of ms above 0"
 )
-BAD_OPERATION_KEY: Final = Word(
+BAD_OPERATION_KEY: Final = ErrorResponse(
     400, "operation-key", "Idempotency-Key must have 1 to 200 visible characters"
 )
-TOO_MANY_CONNECTIONS: Final = Word(
+TOO_MANY_CONNECTIONS: Final = ErrorResponse(
     503, "connections", "this node has too many connections; use another address"
 )
--- a/src/crocusspindle_standins/prove.py
+++ b/src/crocusspindle_standins/prove.py
@@ -65,7 +65,8 @@
         (
             Edit(
                 "src/crocusspindle/services/group_runner.py",
-                "or not self._rights.key_active(head.credential)",
+                "or not self._permissions.key_active(\n"
+                "            head.credential\n        )",
                 "or False",
             ),
             Edit(
--- a/tests/services/test_hand_over.py
+++ b/tests/services/test_hand_over.py
@@ -10,9 +10,9 @@
 from crocusspindle.ids import ViewNumber
 from crocusspindle.services.hand_over import (
     CallerRequest,
-    Handling,
+    CoordinatorResponse,
     HandOverService,
-    HomeAnswer,
+    HandOverState,
 )
 from crocusspindle.settings_schema import TimingSettings
 from crocusspindle.wire import fleet_pb2 as wire
@@ -23,8 +23,8 @@
 CLAIM = wire.AnswerFrame(claim=wire.Claim())
 
 
-class Link:
-    """Stand for a home: play frames, then be lost or silent."""
+class FakeLink:
+    """Stand in for a coordinator: send frames, then be lost or silent."""
 
     def __init__(self, *frames, silent=False):
         self.frames = list(frames)
@@ -42,7 +42,7 @@
         raise PeerError("lost")
 
 
-class Control:
+class FakeControl:
     draining = False
 
     def __init__(self):
@@ -54,20 +54,20 @@
         self.groups = {"desk": partition_targets("desk", ["t:1"])}
 
 
-class Peers:
+class FakePeers:
     def usable(self, member):
         return True
 
 
-class Service(HandOverService):
-    """Hand over to prepared links instead of peers."""
+class HandOverWithLinks(HandOverService):
+    """Hand requests over to prepared links instead of peers."""
 
     def __init__(self, links):
         timings = TimingSettings(hand_over_ms=50)
-        super().__init__(Control(), Peers(), None, timings)
+        super().__init__(FakeControl(), FakePeers(), None, timings)
         self.links = list(links)
 
-    async def _open(self, handling, home):
+    async def _open(self, state, coordinator):
         return self.links.pop(0)
 
 
@@ -88,49 +88,53 @@
 
 
 CASES = {
-    "refused at once": (True, [Link(REFUSED)], Outcome.NOT_RUN),
-    "a read's home lost, the next refuses": (
+    "refused at once": (True, [FakeLink(REFUSED)], Outcome.NOT_RUN),
+    "a read's coordinator lost, the next refuses": (
         True,
-        [Link(), Link(REFUSED)],
+        [FakeLink(), FakeLink(REFUSED)],
         Outcome.UNKNOWN,
     ),
-    "a read's home silent, the next refuses": (
+    "a read's coordinator silent, the next refuses": (
         True,
-        [Link(silent=True), Link(REFUSED)],
+        [FakeLink(silent=True), FakeLink(REFUSED)],
         Outcome.UNKNOWN,
     ),
-    "an order's home lost before its claim": (
+    "an order's coordinator lost before its claim": (
         False,
-        [Link(), Link(REFUSED)],
+        [FakeLink(), FakeLink(REFUSED)],
         Outcome.NOT_RUN,
     ),
-    "an order's home lost after its claim": (False, [Link(CLAIM)], Outcome.UNKNOWN),
-    "an order's home silent after its claim": (
+    "an order's coordinator lost after its claim": (
         False,
-        [Link(CLAIM, silent=True)],
+        [FakeLink(CLAIM)],
+        Outcome.UNKNOWN,
+    ),
+    "an order's coordinator silent after its claim": (
+        False,
+        [FakeLink(CLAIM, silent=True)],
         Outcome.UNKNOWN,
     ),
 }
 
 
 @pytest.mark.parametrize("name", CASES)
-async def test_the_word_for_a_request_whose_home_is_lost(name):
-    """A home dies or falls silent with a request, and another refuses it.
+async def test_outcome_of_a_request_whose_coordinator_is_lost(name):
+    """A coordinator fails or is silent with a request, and another one refuses it.
 
-    Told "not run", the caller sends it again, and a read that waits in a paused home
-    or an order that it was allowed to send runs besides.
+    With the outcome "not run" the caller sends it again, although a read may still
+    run at a paused coordinator, or an order at one that has its grant.
     """
     idempotent, links, outcome = CASES[name]
-    links = [Link(*link.frames, silent=link.silent) for link in links]
-    found = await Service(links).run(Handling(call(idempotent)))
-    assert not isinstance(found, HomeAnswer)
-    assert found.outcome is outcome
-
-
-async def test_a_withdrawn_order_is_not_allowed_late():
-    """An order waited so long that its ledger nodes may have given it up."""
-    link = Link(CLAIM)
-    handling = Handling(call(False), dispatch_by_ms=now_ms() - 1)
-    found = await Service([link]).run(handling)
-    assert found.outcome is Outcome.NOT_RUN
+    links = [FakeLink(*link.frames, silent=link.silent) for link in links]
+    result = await HandOverWithLinks(links).run(HandOverState(call(idempotent)))
+    assert not isinstance(result, CoordinatorResponse)
+    assert result.outcome is outcome
+
+
+async def test_no_grant_after_the_dispatch_deadline_of_an_operation():
+    """An order is queued so long that its ledger nodes may have cancelled it."""
+    link = FakeLink(CLAIM)
+    state = HandOverState(call(False), dispatch_by_ms=now_ms() - 1)
+    result = await HandOverWithLinks([link]).run(state)
+    assert result.outcome is Outcome.NOT_RUN
     assert "grant" not in link.sent
