--- a/src/crocusspindle_standins/prove.py
+++ b/src/crocusspindle_standins/prove.py
@@ -48,8 +48,7 @@
     Case(
         "fitness",
         2,
-        "tests/fleet/test_keys.py::"
-        "test_a_withdrawn_key_stops_on_a_node_that_hears_nobody",
+        "tests/fleet/test_keys.py::test_a_withdrawn_key_stops_on_an_isolated_node",
         (
             Edit(
                 "src/crocusspindle/services/control.py",
@@ -91,7 +90,7 @@
     Case(
         "shares of the whole fleet",
         3,
-        "tests/fleet/test_rates.py::test_no_window_sees_more_than_rate_and_burst",
+        "tests/fleet/test_rates.py::test_no_window_exceeds_rate_and_burst",
         (
             Edit(
                 "src/crocusspindle/services/rates.py",
@@ -105,7 +104,7 @@
     Case(
         "checking the id of an answer",
         4,
-        "tests/fleet/test_answers.py::test_crossed_and_cut_answers_reach_no_caller",
+        "tests/fleet/test_answers.py::test_crossed_and_truncated_responses_reach_no_caller",
         (
             Edit(
                 "src/crocusspindle/services/targets.py",
@@ -141,7 +140,7 @@
     Case(
         "reading back a row whose answer was lost",
         6,
-        "tests/fleet/test_once.py::test_the_tables_answer_is_lost_after_the_write",
+        "tests/fleet/test_once.py::test_the_tables_response_is_lost_after_the_write",
         (
             Edit(
                 "src/crocusspindle/services/ledger.py",
@@ -153,7 +152,7 @@
     Case(
         "asking the entry before an order is sent",
         6,
-        "tests/fleet/test_once.py::test_a_paused_home_wakes_up",
+        "tests/fleet/test_once.py::test_a_paused_coordinator_resumes",
         (
             Edit(
                 "src/crocusspindle/services/handed_over.py",
@@ -165,7 +164,7 @@
     Case(
         "heeding the host list",
         7,
-        "tests/fleet/test_answers.py::test_a_leaving_target_gets_nothing_new",
+        "tests/fleet/test_answers.py::test_a_leaving_target_gets_no_new_requests",
         (
             Edit(
                 "src/crocusspindle/platform/http.py",
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -1,4 +1,4 @@
-"""Run real processes of a fleet for the tests of failures."""
+"""Start fleets of real processes for failure tests."""
 
 import asyncio
 import os
@@ -26,7 +26,7 @@
 
 
 class Caller:
-    """Send single requests and keep what came back."""
+    """Send single requests to nodes and return their responses."""
 
     def __init__(self, fleet: Fleet, session: aiohttp.ClientSession) -> None:
         self.fleet = fleet
@@ -44,7 +44,7 @@
         query: str = "",
         timeout_ms: int | None = None,
     ) -> tuple[int, str, str]:
-        """Return status, outcome and text; 0 and the error for no whole answer."""
+        """Return status, outcome and text; 0 and the error without a whole response."""
         headers = {"Authorization": f"Bearer {key}", "Test-Request": test_request}
         if operation:
             headers["Idempotency-Key"] = operation
@@ -62,7 +62,7 @@
             return 0, "", repr(error)
 
     async def where(self, node: int) -> list[str]:
-        """Return the addresses that a node tells the customer to use."""
+        """Return the addresses that a node reports to the customer."""
         url = f"{self.fleet.nodes[node].caller_url}/.well-known/crocusspindle/where"
         headers = {"Authorization": f"Bearer {KEY}"}
         async with self.session.get(url, headers=headers) as response:
@@ -71,16 +71,16 @@
         return [entry["address"] for entry in content["addresses"]]
 
     async def where_from_any(self) -> list[str]:
-        """Return the addresses as the first node tells that answers."""
+        """Return the addresses that the first reachable node reports."""
         for node in range(len(self.fleet.nodes)):
             with suppress(aiohttp.ClientError, OSError):
                 return await self.where(node)
-        raise AssertionError("no node answers")
+        raise AssertionError("no node responds")
 
     async def send_to(
         self, address: str, method: str, body: AsyncIterator[bytes] | None
     ) -> tuple[int, str, str]:
-        """Send a request to an address that the system named."""
+        """Send a request to an address that a node reported."""
         headers = {"Authorization": f"Bearer {KEY}"}
         try:
             async with self.session.request(
@@ -92,7 +92,7 @@
             return 0, "", repr(error)
 
     async def until_served(self, node: int = 0) -> None:
-        """Wait until the shares of the customer are open."""
+        """Wait until the customer's shares are active and a request is served."""
         async with asyncio.timeout(SHARES_OPEN_S * 3):
             while (await self.send(node))[0] != 200:
                 await asyncio.sleep(0.2)
@@ -106,11 +106,11 @@
         return await self._sum("operations")
 
     async def _sum(self, field: str) -> dict[str, int]:
-        total: dict[str, int] = {}
-        for judged in await self.fleet.executions():
-            for name, count in judged[field].items():
-                total[name] = total.get(name, 0) + count
-        return total
+        totals: dict[str, int] = {}
+        for execution in await self.fleet.executions():
+            for name, count in execution[field].items():
+                totals[name] = totals.get(name, 0) + count
+        return totals
 
 
 StartFleet = Callable[..., Awaitable[Caller]]
@@ -154,13 +154,13 @@
             session = await stack.enter_async_context(
                 calling_session(
                     connector=aiohttp.TCPConnector(limit=0),
-                    timeout=aiohttp.ClientTimeout(total=15, sock_connect=1),
+                    timeout=aiohttp.ClientTimeout(totals=15, sock_connect=1),
                 )
             )
             caller = Caller(fleet, session)
             for node in range(nodes):
                 await caller.until_served(node)
-            # New shares open empty; a burst of requests needs them filled.
+            # New shares start empty; a burst of requests needs them filled.
             await asyncio.sleep(SHARES_FILL_S)
             return caller
 
@@ -168,13 +168,13 @@
 
 
 def open_files(pid: int) -> list[str]:
-    """Return what the descriptors of a process point to."""
+    """Return the paths of the open file descriptors of a process."""
     folder = Path(f"/proc/{pid}/fd")
     return [os.readlink(entry) for entry in folder.iterdir()]
 
 
 def children(pid: int) -> list[str]:
-    """Return the processes that a process has started."""
+    """Return the ids of the child processes of a process."""
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return [
         child for task in tasks for child in (task / "children").read_text().split()
--- a/tests/fleet/test_answers.py
+++ b/tests/fleet/test_answers.py
@@ -4,58 +4,61 @@
 from crocusspindle_standins.fleet import TargetGroup
 
 
-async def test_crossed_and_cut_answers_reach_no_caller(start_fleet):
-    """Targets answer with another request's page, or break off in the middle.
+async def test_crossed_and_truncated_responses_reach_no_caller(start_fleet):
+    """Targets send another request's response, or close in the middle of one.
 
-    A caller would take a stranger's order, or half a schedule, for its own.
+    A caller would take another customer's data, or a partial response, for its own.
     """
     caller = await start_fleet()
     for target in caller.fleet.targets:
         await caller.fleet.target_fault(
             target, cross_fraction=0.2, cut_fraction=0.2, fail_fraction=0.1
         )
-    found = await asyncio.gather(
+    responses = await asyncio.gather(
         *(caller.send(n % 3, test_request=f"mine-{n}") for n in range(200))
     )
-    for number, (status, outcome, text) in enumerate(found):
+    for number, (status, outcome, text) in enumerate(responses):
         if outcome == "ran":
             assert json.loads(text)["request"] == f"mine-{number}"
         else:
             assert status in (0, 500, 503, 504)
-    # 58 % of first sendings come through whole; fewer than a third would show that
-    # the test did not look at enough answers.
-    assert sum(outcome == "ran" for _, outcome, _ in found) > 66
+    # 58 % of first attempts succeed; fewer than a third of requests served means that
+    # the test has not checked enough responses.
+    assert sum(outcome == "ran" for _, outcome, _ in responses) > 66
 
 
-async def test_a_long_answer_that_breaks_off_is_visibly_cut(start_fleet):
-    """The home dies in the middle of a long answer. The caller must not read an end."""
+async def test_a_truncated_long_response_is_visible_to_the_caller(start_fleet):
+    """Targets are killed in the middle of long responses.
+
+    The caller must not read a regular end of a truncated response.
+    """
     caller = await start_fleet(group=TargetGroup("desk", 4, 4, 0.0))
     size = 50_000_000
     query = f"?answer_bytes={size}"
-    whole = await caller.send(0, query=query)
-    assert len(whole[2]) == size
-    sending = [asyncio.create_task(caller.send(n, query=query)) for n in (0, 1, 2)]
+    complete = await caller.send(0, query=query)
+    assert len(complete[2]) == size
+    tasks = [asyncio.create_task(caller.send(n, query=query)) for n in (0, 1, 2)]
     await asyncio.sleep(0.2)
     for target in caller.fleet.targets:
         target.running.process.kill()
-    for status, _, text in await asyncio.gather(*sending):
+    for status, _, text in await asyncio.gather(*tasks):
         assert status in (0, 500, 502, 503, 504) or len(text) == size
 
 
-async def test_silent_targets_cost_callers_little(start_fleet):
-    """One of four targets takes requests and never answers, health check well.
+async def test_silent_targets_delay_few_callers(start_fleet):
+    """One of four targets accepts requests and never responds; its health check passes.
 
-    Without hedges and judging what is outstanding, a quarter of the callers would
-    wait for their time-out.
+    Without hedges and evaluation of outstanding attempts, a quarter of the callers
+    would wait until their timeout.
     """
     caller = await start_fleet()
     await asyncio.gather(*(caller.send(n % 3) for n in range(60)))
     await caller.fleet.target_fault(caller.fleet.targets[0], hang_fraction=1.0)
-    found = []
+    responses = []
     for number in range(150):
-        found.append((await caller.send(number % 3))[0])
+        responses.append((await caller.send(number % 3))[0])
         await asyncio.sleep(0.02)
-    assert found.count(200) >= 147
+    assert responses.count(200) >= 147
     ran = (await caller.fleet.executions())[0]
     before = sum(ran["customers"].values())
     for number in range(60):
@@ -67,8 +70,8 @@
 async def test_refused_requests_did_not_run(start_fleet):
     """Demand is several times the capacity, targets shed, and deadlines are short.
 
-    Each refusal that says "not run" invites its caller to send again: if it did
-    run, a crew goes out twice.
+    A caller repeats a request that was refused as "not run": if it did run, the
+    operation runs twice.
     """
     caller = await start_fleet(
         group=TargetGroup("desk", 2, 2, 50.0, queue=0), timeout_ms=1500
@@ -84,19 +87,19 @@
             timeout_ms=200 + n % 400,
         )
 
-    found = await asyncio.gather(*(send(n) for n in range(500)))
+    responses = await asyncio.gather(*(send(n) for n in range(500)))
     executed = await caller.executed()
-    refused = [n for n, (_, outcome, _) in enumerate(found) if outcome == "not-run"]
+    refused = [n for n, (_, outcome, _) in enumerate(responses) if outcome == "not-run"]
     assert len(refused) > 20
     assert [n for n in refused if executed.get(f"load-{n}")] == []
-    assert sum(outcome == "ran" for _, outcome, _ in found) > 20
-    for status, outcome, text in found:
+    assert sum(outcome == "ran" for _, outcome, _ in responses) > 20
+    for status, outcome, text in responses:
         if outcome == "not-run" and status == 503:
             assert json.loads(text)["retry_after_ms"] >= 1
 
 
-async def test_a_leaving_target_gets_nothing_new(start_fleet):
-    """The host list says that a target leaves; its operator will switch it off."""
+async def test_a_leaving_target_gets_no_new_requests(start_fleet):
+    """The host list marks a target as leaving, before its operator stops it."""
     caller = await start_fleet()
     target = caller.fleet.targets[0]
     await caller.fleet.leave(target)
--- a/tests/fleet/test_keys.py
+++ b/tests/fleet/test_keys.py
@@ -7,7 +7,7 @@
 from crocusspindle_standins.relay import Direction
 from tests.fleet.conftest import KEY
 
-SECONDS = 6.0
+OBSERVATION_S = 6.0
 
 
 async def withdraw(caller, node=0):
@@ -31,11 +31,11 @@
 
 
 async def test_a_withdrawn_key_stops_on_connections_that_stay_open(start_fleet):
-    """A key leaks. Its thief keeps connections to every node open."""
+    """A leaked key is withdrawn while a client keeps connections to every node open."""
     caller = await start_fleet()
     await withdraw(caller)
     served = await asyncio.gather(
-        *(served_until(caller, node, SECONDS) for node in range(3))
+        *(served_until(caller, node, OBSERVATION_S) for node in range(3))
     )
     assert max(served) < 3.0
     assert (await caller.send(1))[0] == 401
@@ -48,32 +48,33 @@
 
 
 @pytest.mark.parametrize("take_back", [withdraw, withdraw_approval])
-async def test_a_withdrawn_key_stops_on_queued_requests(start_fleet, take_back):
-    """Requests wait for a slot when their key, or the owner's approval, is withdrawn;
-    none may run later.
+async def test_a_withdrawn_key_stops_on_queued_requests(start_fleet, withdraw_access):
+    """Requests are queued when their key, or the owner's approval, is withdrawn.
+
+    None of them may run later.
     """
     group = TargetGroup("desk", 1, 1, 1000.0)
     caller = await start_fleet(group=group, timeout_ms=20000)
     for target in caller.fleet.targets:
         await caller.fleet.target_fault(target, slow_factor=3.0)
-    sending = [
+    tasks = [
         asyncio.create_task(caller.send(n % 3, test_request=f"queued-{n}"))
         for n in range(6)
     ]
     await asyncio.sleep(0.3)
-    await take_back(caller)
-    found = await asyncio.gather(*sending)
-    refused = [n for n, (_, outcome, _) in enumerate(found) if outcome == "not-run"]
+    await withdraw_access(caller)
+    responses = await asyncio.gather(*tasks)
+    refused = [n for n, (_, outcome, _) in enumerate(responses) if outcome == "not-run"]
     assert len(refused) >= 4
     executed = await caller.executed()
     assert not [n for n in refused if executed.get(f"queued-{n}")]
 
 
-async def test_a_withdrawn_key_stops_on_a_node_that_hears_nobody(start_fleet):
-    """A node is cut off from peers and platform while callers still reach it.
+async def test_a_withdrawn_key_stops_on_an_isolated_node(start_fleet):
+    """A node is isolated from peers and platform while callers still reach it.
 
-    It can't learn of the withdrawal. It must notice that it knows nothing new and
-    refuse, or the key works there for as long as the cut lasts.
+    It can't receive the withdrawal. It must refuse requests once its state is stale,
+    or the key works there until the partition ends.
     """
     caller = await start_fleet(relayed=True)
     name = caller.fleet.nodes[2].name
@@ -83,31 +84,31 @@
         caller.fleet.peer_relays[node.name].silence_open()
         caller.fleet.peer_relays[node.name].cut(Direction.TO_CLIENT)
     await withdraw(caller)
-    last_s = await served_until(caller, 2, SECONDS)
+    last_s = await served_until(caller, 2, OBSERVATION_S)
     assert last_s < 4.0
     status, outcome, text = await caller.send(2)
     assert (status, outcome) == (503, "not-run")
     assert "other addresses" in text
 
 
-async def test_a_key_given_up_before_an_outage_stays_out(start_fleet):
-    """The platform goes away right after a withdrawal and stays away."""
+async def test_a_key_withdrawn_before_an_outage_stays_withdrawn(start_fleet):
+    """The platform becomes unreachable right after a withdrawal, and stays so."""
     caller = await start_fleet()
     await withdraw(caller)
     await caller.fleet.platform(mode="silent")
     served = await asyncio.gather(
-        *(served_until(caller, node, SECONDS) for node in range(3))
+        *(served_until(caller, node, OBSERVATION_S) for node in range(3))
     )
     assert max(served) < 3.0
 
 
 async def test_targets_and_logs_never_see_a_key(start_fleet):
-    """A target's access log is read by others; a key in it is a key lost."""
+    """Others can read a target's access log, so a key in it is compromised."""
     caller = await start_fleet()
     for node in range(3):
         await caller.send(node, "POST", operation="one", body=b"x")
-    judged = await caller.fleet.executions()
-    assert sum(one["keys_seen"] for one in judged) == 0
+    executions = await caller.fleet.executions()
+    assert sum(execution["keys_seen"] for execution in executions) == 0
     for log in caller.fleet.folder.glob("*.log"):
         assert KEY not in log.read_text()
     audit = await caller.fleet.audit(caller.fleet.nodes[0])
