--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -202,8 +202,8 @@
     ) -> None:
         result = self._results.pop(attempt, None)
         if result is None or result.target_response is None:
-            given_up = GivenUp(Outcome.UNKNOWN, "no-answer", now_ms() + RETRY_MS)
-            self._conclude(request, given_up)
+            failure = GivenUp(Outcome.UNKNOWN, "no-answer", now_ms() + RETRY_MS)
+            self._conclude(request, failure)
             return
         self._conclude(request, ResponseReceived(result.target_response, outcome))
 
@@ -220,8 +220,8 @@
             self._respond(failed.request, last, failed.outcome)
             return
         reason = "target-failed" if failed.outcome is Outcome.UNKNOWN else "not-sent"
-        given_up = GivenUp(failed.outcome, reason, failed.retry_at_ms)
-        self._conclude(failed.request, given_up)
+        failure = GivenUp(failed.outcome, reason, failed.retry_at_ms)
+        self._conclude(failed.request, failure)
 
     def _conclude(self, request: RequestId, final: ResponseReceived | GivenUp) -> None:
         handed_over = self._requests.get(request)
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -106,11 +106,11 @@
         return await self._sum("operations")
 
     async def _sum(self, field: str) -> dict[str, int]:
-        totals: dict[str, int] = {}
+        total: dict[str, int] = {}
         for execution in await self.fleet.executions():
             for name, count in execution[field].items():
-                totals[name] = totals.get(name, 0) + count
-        return totals
+                total[name] = total.get(name, 0) + count
+        return total
 
 
 StartFleet = Callable[..., Awaitable[Caller]]
@@ -154,7 +154,7 @@
             session = await stack.enter_async_context(
                 calling_session(
                     connector=aiohttp.TCPConnector(limit=0),
-                    timeout=aiohttp.ClientTimeout(totals=15, sock_connect=1),
+                    timeout=aiohttp.ClientTimeout(total=15, sock_connect=1),
                 )
             )
             caller = Caller(fleet, session)
--- a/tests/fleet/test_keys.py
+++ b/tests/fleet/test_keys.py
@@ -47,7 +47,7 @@
     )
 
 
-@pytest.mark.parametrize("take_back", [withdraw, withdraw_approval])
+@pytest.mark.parametrize("withdraw_access", [withdraw, withdraw_approval])
 async def test_a_withdrawn_key_stops_on_queued_requests(start_fleet, withdraw_access):
     """Requests are queued when their key, or the owner's approval, is withdrawn.
 
