--- a/src/crocusspindle/services/assembly.py
+++ b/src/crocusspindle/services/assembly.py
@@ -25,7 +25,7 @@
 from crocusspindle.services.ledger import LedgerService
 from crocusspindle.services.operations import OperationsService
 from crocusspindle.services.operator_port import operator_app
-from crocusspindle.services.peers import Peers, fleet_proof
+from crocusspindle.services.peers import Peers, fleet_credential
 from crocusspindle.services.platform_service import PlatformService
 from crocusspindle.services.ports import CallerPort, HttpPort, PeerPort, PeerServer
 from crocusspindle.services.rates import RatesService
@@ -42,13 +42,13 @@
     """Return the kernel of a node whose services are ready to start.
 
     Raises ``SettingsError`` for an unknown platform adapter and ``OSError`` for a
-    port that is taken.
+    port that is in use.
     """
-    caller = _listen(settings.caller.host, settings.caller.port)
-    peer = _listen(settings.peer.host, settings.peer.port)
-    operator = _listen(settings.operator.host, settings.operator.port)
-    me = _member(settings, caller, peer)
-    proof = fleet_proof(fleet_key(settings.fleet), settings.fleet.name)
+    caller_socket = _listen(settings.caller.host, settings.caller.port)
+    peer_socket = _listen(settings.peer.host, settings.peer.port)
+    operator_socket = _listen(settings.operator.host, settings.operator.port)
+    me = _member(settings, caller_socket, peer_socket)
+    credential = fleet_credential(fleet_key(settings.fleet), settings.fleet.name)
     metrics = Metrics(settings.node.name, settings.node.domain)
     tls = NodeTls.from_config(settings)
     platform = PlatformService(platform_adapter(settings), metrics)
@@ -56,29 +56,34 @@
 
     kernel = Kernel(timings.drain_ms)
     control = ControlService(me, timings)
-    peers = Peers(me.member, proof, timings, control, tls.peer_client)
+    peers = Peers(me.member, credential, timings, control, tls.peer_client)
     rates = RatesService(control, peers, timings, metrics)
-    home = HomeService(control, peers, limits, metrics)
+    coordinator = HomeService(control, peers, limits, metrics)
     follower = FollowerService(control, peers, platform, timings, limits)
     ledger = LedgerService(control, peers, platform, timings, limits, metrics)
     operations = OperationsService(control, peers, ledger)
-    hand_over = HandOverService(control, peers, home, timings)
+    hand_over = HandOverService(control, peers, coordinator, timings)
     entry = EntryService(
         settings, control, peers, rates, hand_over, operations, metrics
     )
     backend = BackendService(
-        control, peers, rates, home, ledger, follower, platform, timings
+        control, peers, rates, coordinator, ledger, follower, platform, timings
     )
-    server = PeerServer(control, rates, home, ledger)
+    server = PeerServer(control, rates, coordinator, ledger)
     caller_port = CallerPort(
-        caller, settings.caller, entry, home, timings.where_max_age_ms, tls.caller
+        caller_socket,
+        settings.caller,
+        entry,
+        coordinator,
+        timings.where_max_age_ms,
+        tls.caller,
     )
-    watch_node(metrics, control, peers, home, lambda: caller_port.connections)
+    watch_node(metrics, control, peers, coordinator, lambda: caller_port.connections)
 
-    async def operators() -> web.Application:
+    async def build_operator_app() -> web.Application:
         return operator_app(backend, settings.operator.principals, metrics)
 
-    async def scrape() -> web.Application:
+    async def build_metrics_app() -> web.Application:
         return metrics_app(metrics)
 
     kernel.add("platform", platform)
@@ -86,8 +91,8 @@
     kernel.add("control", control)
     kernel.add("peers", peers)
     kernel.add("rates", rates)
-    kernel.add("home", home)
-    kernel.add("peer_port", PeerPort(peer, server, proof, tls.peer_server))
+    kernel.add("home", coordinator)
+    kernel.add("peer_port", PeerPort(peer_socket, server, credential, tls.peer_server))
     kernel.add("follower", follower)
     kernel.add("ledger", ledger)
     kernel.add("operations", operations)
@@ -95,41 +100,46 @@
     kernel.add("entry", entry)
     kernel.add("backend", backend)
     kernel.add("caller_port", caller_port)
-    operator_port = HttpPort(operator, operators, ("backend",), tls.operator)
+    operator_port = HttpPort(
+        operator_socket, build_operator_app, ("backend",), tls.operator
+    )
     kernel.add("operator_port", operator_port)
     if settings.metrics is not None:
-        scraped = _listen(settings.metrics.host, settings.metrics.port)
-        kernel.add("metrics_port", HttpPort(scraped, scrape))
+        metrics_socket = _listen(settings.metrics.host, settings.metrics.port)
+        kernel.add("metrics_port", HttpPort(metrics_socket, build_metrics_app))
     return kernel
 
 
 def _member(
-    settings: NodeSettings, caller: socket.socket, peer: socket.socket
+    settings: NodeSettings, caller_socket: socket.socket, peer_socket: socket.socket
 ) -> ViewMember:
-    advertised = settings.caller.advertise or _address(caller)
+    advertised = settings.caller.advertise or _address(caller_socket)
     return ViewMember(
         member=MemberId(f"{settings.node.name}-{secrets.token_hex(4)}"),
         domain=DomainId(settings.node.domain),
         region=settings.node.region,
         caller_address=advertised,
-        peer_address=settings.peer.advertise or _address(peer),
+        peer_address=settings.peer.advertise or _address(peer_socket),
         joined_unix_ms=unix_ms(),
     )
 
 
 def platform_adapter(settings: NodeSettings) -> PlatformAdapter:
-    """Return the adapter that the settings name; raise ``SettingsError``."""
-    # Every module of the package registers its adapter: a new platform takes one
-    # file and no change elsewhere.
+    """Return the adapter that the settings name.
+
+    Raises ``SettingsError`` for an unknown one.
+    """
+    # Importing a module of the package registers its adapter, so a new platform needs
+    # one file and no change elsewhere.
     for module in pkgutil.iter_modules(platform_package.__path__):
         import_module(f"{platform_package.__name__}.{module.name}")
-    known = adapters()
+    registered = adapters()
     name = settings.platform.adapter
-    if name not in known:
-        names = ", ".join(sorted(known))
+    if name not in registered:
+        names = ", ".join(sorted(registered))
         finding = Finding("settings", "platform.adapter", f"must be one of {names}")
         raise SettingsError([finding])
-    return known[name].from_config(settings.platform.options)
+    return registered[name].from_config(settings.platform.options)
 
 
 def _listen(host: str, port: int) -> socket.socket:
--- a/src/crocusspindle/services/audit.py
+++ b/src/crocusspindle/services/audit.py
@@ -1,4 +1,4 @@
-"""Keep the audit trail of changes in the platform's table."""
+"""Store the audit trail of changes in the platform's table."""
 
 import json
 from collections.abc import Callable, Mapping, Sequence
@@ -14,12 +14,12 @@
 from crocusspindle.services.operator_api import AuditEntry
 from crocusspindle.settings_schema import Principal
 
-AUDIT: Final = "audit"
-CHANGED: Final = ("customers", "keys", "services", "routes", "approvals")
+AUDIT_TABLE: Final = "audit"
+CHANGED_KINDS: Final = ("customers", "keys", "services", "routes", "approvals")
 
 
 class AuditTrail:
-    """Write and read who changed what, and when."""
+    """Write and read audit entries: who changed what, and when."""
 
     def __init__(self, platform: Platform, timeout_ms: float) -> None:
         self._platform = platform
@@ -33,10 +33,10 @@
         before: Mapping[str, Any],
         when_unix_ms: float,
     ) -> None:
-        """Record a ticket that has been accepted.
+        """Write the audit entry of an accepted ticket.
 
-        The ticket stands whether or not this succeeds, so a failure is no error
-        to the operator; ``read`` shows such a ticket with what is known of it.
+        The ticket stays valid if this fails, so the failure is logged and not reported
+        to the operator; ``read`` then derives the entry from the ticket.
         """
         fields = {
             "who": principal.name,
@@ -47,7 +47,9 @@
         }
         key, value = ticket_key(ticket.number), json.dumps(fields).encode()
         try:
-            await self._platform.put(AUDIT, key, value, ABSENT, self._deadline_ms())
+            await self._platform.put(
+                AUDIT_TABLE, key, value, ABSENT, self._deadline_ms()
+            )
         except PlatformError as error:
             log_state_change(
                 self._logger, "audit missing", number=ticket.number, error=str(error)
@@ -58,15 +60,17 @@
     ) -> Sequence[AuditEntry]:
         """Return the entries of all tickets above ``after``, in order.
 
-        The node that took a ticket may be lost before it wrote the entry. The
-        ticket itself tells who and what, so no change is missing from the trail;
-        when it was made and the state before are then unknown.
+        The node that accepted a ticket may crash before it writes the entry. The
+        author and the changes then come from the ticket, so no change is missing from
+        the trail; the time of the change and the state before it are unknown.
         """
         start = ticket_key(after)
         tickets = await self._platform.read_range(
             TICKETS, start, limit, self._deadline_ms()
         )
-        rows = await self._platform.read_range(AUDIT, start, limit, self._deadline_ms())
+        rows = await self._platform.read_range(
+            AUDIT_TABLE, start, limit, self._deadline_ms()
+        )
         written = {row.key: json.loads(row.value) for row in rows}
         entries = []
         for row in tickets:
@@ -96,7 +100,7 @@
 
 def _after(ticket: Ticket) -> dict[str, Any]:
     content = json.loads(encode_ticket(ticket))
-    return {kind: content[kind] for kind in CHANGED}
+    return {kind: content[kind] for kind in CHANGED_KINDS}
 
 
 def _from_ticket(ticket: Ticket) -> dict[str, Any]:
--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -1,4 +1,4 @@
-"""Do the work of the operator port: submit tickets, keep the trail, tell status."""
+"""Implement the operator port: tickets, the audit trail and the fleet's status."""
 
 import asyncio
 import json
@@ -55,15 +55,15 @@
 )
 from crocusspindle.settings_schema import Principal, TimingSettings
 
-CUT_OFF: Final = "this node may be cut off; ask another one"
+ISOLATED_MESSAGE: Final = "this node may be cut off; ask another one"
 RETRY_MS: Final = 1_000.0
-HEARTBEATS_WAITED: Final = 6
-SUBMISSION_MS: Final = 8_000.0
-"""Six platform calls of a second each and a margin."""
+MAX_HEARTBEATS_WAITED: Final = 6
+SUBMISSION_TIMEOUT_MS: Final = 8_000.0
+"""Timeout of a submission: six platform calls of a second each and a margin."""
 
 
 class BackendService(Service):
-    """Answer operators from this node and the platform."""
+    """Serve operator calls from this node's state and the platform."""
 
     name = "backend"
     needs = ("control", "peers", "rates", "home", "ledger", "follower")
@@ -73,7 +73,7 @@
         control: ControlService,
         peers: Peers,
         rates: RatesService,
-        home: HomeService,
+        coordinator: HomeService,
         ledger: LedgerService,
         follower: FollowerService,
         platform: Platform,
@@ -82,7 +82,7 @@
         self._control = control
         self._peers = peers
         self._rates = rates
-        self._home = home
+        self._coordinator = coordinator
         self._ledger = ledger
         self._follower = follower
         self._platform = platform
@@ -90,32 +90,32 @@
         self._audit = AuditTrail(platform, timings.platform_timeout_ms)
 
     async def validate(self, document: bytes) -> TicketSummary:
-        """Return what a ticket would change against the state before its number."""
+        """Return what a ticket would change in the state before its number."""
         ticket = parse_ticket(document, "ticket")
         await self._follower.catch_up()
         self._check_state(ticket)
         return TicketSummary(ticket.number, content_hash(ticket).hex(), touches(ticket))
 
     async def submit(self, document: bytes, principal: Principal) -> SubmitResult:
-        """Record a ticket; the same content again succeeds."""
+        """Record a ticket; submitting the same content again succeeds."""
         ticket = replace(parse_ticket(document, "ticket"), author=principal.name)
         await self._follower.catch_up()
         repeated = self._control.log.applied >= ticket.number
         if not repeated:
             self._check_state(ticket)
         before = states_of(ticket, self._control.directory)
-        await self._until_allowed()
-        submission = Submission(ticket, now_ms() + SUBMISSION_MS)
+        await self._wait_for_majority()
+        submission = Submission(ticket, now_ms() + SUBMISSION_TIMEOUT_MS)
         while submission.step is not SubmissionStep.DONE:
-            await self._step(submission)
-        self._conclude(submission)
-        self._control.take_tickets([ticket])
+            await self._run_step(submission)
+        self._raise_unless_accepted(submission)
+        self._control.apply_tickets([ticket])
         if not repeated:
             await self._audit.write(ticket, principal, before, unix_ms())
         return SubmitResult(ticket.number, content_hash(ticket).hex(), repeated)
 
     async def ticket(self, number: TicketNumber) -> TicketRecord | None:
-        """Return one ticket, or None when the number is not taken."""
+        """Return one ticket, or None if its number is unused."""
         row = await self._platform.get(TICKETS, ticket_key(number), self._deadline_ms())
         if row is None:
             return None
@@ -133,7 +133,7 @@
         return await self._audit.read(after, limit, self._in_force)
 
     async def status(self) -> Mapping[str, Any]:
-        """Return what the node knows about the fleet, ready for JSON."""
+        """Return this node's knowledge of the fleet, ready for JSON."""
         control, now = self._control, now_ms()
         view = control.view
         return {
@@ -148,7 +148,7 @@
             "in_force": self._in_force(control.log.head_seen),
             "view": 0 if view is None else view.number,
             "members": self._members(view),
-            "groups": self._home.status(),
+            "groups": self._coordinator.status(),
             "shares": asdict(self._rates.status()),
             "operations_whole": self._ledger.covers_window_for_all_keys(),
             "counts": control.directory.counts(),
@@ -160,7 +160,7 @@
     def _check_state(self, ticket: Ticket) -> None:
         """Check a ticket against the state before it; raise ``TicketError``."""
         if not self._control.is_eligible():
-            raise NotFitError(CUT_OFF, RETRY_MS)
+            raise NotFitError(ISOLATED_MESSAGE, RETRY_MS)
         expected = self._control.log.applied + 1
         if ticket.number < expected:
             return
@@ -175,25 +175,27 @@
         if findings:
             raise TicketError(findings)
 
-    async def _until_allowed(self) -> None:
-        """Wait for a majority that knows the present view.
+    async def _wait_for_majority(self) -> None:
+        """Wait until a majority is known to have the current view.
 
-        For about two heartbeats after each change of view no majority has shown
-        that it knows it; an operator should not have to try again for that.
+        This takes about two heartbeats after each change of view. Waiting spares the
+        operator a retry.
         """
-        give_up_ms = now_ms() + self._timings.heartbeat_ms * HEARTBEATS_WAITED
+        wait_until_ms = now_ms() + self._timings.heartbeat_ms * MAX_HEARTBEATS_WAITED
         while now_ms() >= self._control.fitness.changes_until_ms(now_ms()):
-            if now_ms() >= give_up_ms:
-                raise NotFitError(CUT_OFF, RETRY_MS)
+            if now_ms() >= wait_until_ms:
+                raise NotFitError(ISOLATED_MESSAGE, RETRY_MS)
             await asyncio.sleep(self._timings.heartbeat_ms / 4e3)
 
-    async def _step(self, submission: Submission) -> None:
+    async def _run_step(self, submission: Submission) -> None:
         number = submission.ticket.number
         key = ticket_key(number)
         try:
             if submission.step is SubmissionStep.READ_PREDECESSOR:
-                before = ticket_key(TicketNumber(number - 1))
-                found = await self._platform.get(TICKETS, before, self._deadline_ms())
+                predecessor = ticket_key(TicketNumber(number - 1))
+                found = await self._platform.get(
+                    TICKETS, predecessor, self._deadline_ms()
+                )
                 submission.predecessor_read(found is not None)
             elif submission.step is SubmissionStep.PUT:
                 content = encode_ticket(submission.ticket)
@@ -203,29 +205,29 @@
                 if result.applied:
                     submission.put_applied()
                 else:
-                    self._take_row(submission, result.current)
+                    self._apply_row(submission, result.current)
             else:
                 row = await self._platform.get(TICKETS, key, self._deadline_ms())
-                self._take_row(submission, row)
+                self._apply_row(submission, row)
         except PlatformUnavailableError:
             submission.call_unavailable(now_ms())
         except PlatformUnknownError:
             submission.call_unknown(now_ms())
 
-    def _take_row(self, submission: Submission, row: Row | None) -> None:
+    def _apply_row(self, submission: Submission, row: Row | None) -> None:
         if row is None:
             submission.row_absent()
         else:
             submission.row_found(content_hash(decode_ticket(row.value)))
 
-    def _conclude(self, submission: Submission) -> None:
+    def _raise_unless_accepted(self, submission: Submission) -> None:
         number, outcome = submission.ticket.number, submission.outcome
         if outcome is SubmissionOutcome.ACCEPTED:
             return
         if outcome is SubmissionOutcome.CONFLICT:
             raise TicketConflictError(f"ticket {number} already holds other content")
         if outcome is SubmissionOutcome.GAP:
-            message = f"ticket {number - 1} is not there yet"
+            message = f"ticket {number - 1} does not exist yet"
             raise TicketError([Finding("ticket", "number", message)])
         if outcome is SubmissionOutcome.UNKNOWN:
             raise PlatformUnknownError(f"ticket {number} may have been recorded")
@@ -246,18 +248,18 @@
         )
 
     def _confirmations(self) -> dict[MemberId, TicketNumber]:
-        found = {self._control.me.member: self._control.log.applied}
+        applied_by = {self._control.me.member: self._control.log.applied}
         for member in self._peers.members():
             standing = self._peers.standing(member.member)
             if standing is not None:
-                found[member.member] = TicketNumber(standing.applied_ticket)
-        return found
+                applied_by[member.member] = TicketNumber(standing.applied_ticket)
+        return applied_by
 
-    def _unfit(self) -> set[MemberId]:
+    def _ineligible_members(self) -> set[MemberId]:
         """Return members that certainly refuse new work by now.
 
-        One that has not echoed for longer than a stamp lasts either is unfit or
-        has read the ticket log since.
+        A member that has not echoed for longer than a timestamp stays fresh either is
+        not eligible or has read the ticket log since.
         """
         limit_ms = self._timings.freshness_ms * 1.25
         return {
@@ -270,47 +272,48 @@
         view = self._control.view
         if view is None:
             return False
-        return in_force(number, self._confirmations(), view, self._unfit())
+        return in_force(number, self._confirmations(), view, self._ineligible_members())
 
     def _waiting_for(self, number: TicketNumber) -> tuple[str, ...]:
-        confirmed, unfit = self._confirmations(), self._unfit()
+        confirmed, ineligible = self._confirmations(), self._ineligible_members()
         view = self._control.view
         members = () if view is None else view.members
         return tuple(
             member.member
             for member in members
-            if confirmed.get(member.member, 0) < number and member.member not in unfit
+            if confirmed.get(member.member, 0) < number
+            and member.member not in ineligible
         )
 
     def _members(self, view: MemberView | None) -> list[dict[str, Any]]:
-        found = []
+        members = []
         for member in () if view is None else view.members:
             standing = self._peers.standing(member.member)
-            own = member.member == self._control.me.member
-            found.append(
+            is_own = member.member == self._control.me.member
+            members.append(
                 {
                     "member": member.member,
                     "domain": member.domain,
                     "caller_address": member.caller_address,
-                    "silent": not own and not self._peers.connected(member.member),
+                    "silent": not is_own and not self._peers.connected(member.member),
                     "fit": self._control.is_eligible()
-                    if own
+                    if is_own
                     else standing is not None and standing.fit,
                     "draining": standing is not None and standing.draining,
                     "applied_ticket": self._control.log.applied
-                    if own
+                    if is_own
                     else 0
                     if standing is None
                     else standing.applied_ticket,
                     "unfit_reason": "" if standing is None else standing.unfit_reason,
                 }
             )
-        return found
+        return members
 
 
 def touches(ticket: Ticket) -> tuple[Touch, ...]:
-    """Return what a ticket changes, by its place in the document."""
-    found = [
+    """Return what a ticket changes, with the path of each change in the document."""
+    changes = [
         Touch(
             TouchKind.APPROVAL_GIVEN,
             f"approvals.{approval.service}.{approval.customer}",
@@ -319,7 +322,7 @@
         )
         for approval in ticket.set.approvals
     ]
-    found += [
+    changes += [
         Touch(
             TouchKind.APPROVAL_WITHDRAWN,
             f"approvals.{approval.service}.{approval.customer}",
@@ -328,9 +331,9 @@
         for approval in ticket.remove.approvals
     ]
     content = json.loads(encode_ticket(ticket))
-    found += [
+    changes += [
         Touch(TouchKind.OTHER, f"{kind}.{name}")
         for kind in ("customers", "keys", "services", "routes")
         for name in content[kind]
     ]
-    return tuple(found)
+    return tuple(changes)
--- a/src/crocusspindle/services/control.py
+++ b/src/crocusspindle/services/control.py
@@ -1,4 +1,4 @@
-"""Hold what this node knows of the fleet, and whether it may act on it."""
+"""Hold this node's state of the fleet and its eligibility for new work."""
 
 import time
 from collections.abc import Callable, Iterable, Mapping
@@ -38,29 +38,29 @@
 from crocusspindle.wire import fleet_pb2 as wire
 
 TAIL_KEPT: Final = 1_000
-"""Applied tickets kept for peers that lag: several hours of an ordinary day. Who
+"""Applied tickets kept for lagging peers: several hours of an ordinary day. A peer that
 lags further starts from a snapshot."""
-NO_TARGETS_MS: Final = 1e12
-MISSED_CONTACTS: Final = 6
+MAX_TARGETS_AGE_MS: Final = 1e12
+CONTACT_HEARTBEATS: Final = 6
 
 
 def unix_ms() -> int:
-    """Return the wall clock, for records that people read and coarse ages."""
+    """Return the wall clock, for records read by people and for coarse ages."""
     return time.time_ns() // 1_000_000
 
 
 @dataclass(frozen=True)
 class Change:
-    """Tell what one applied ticket changed, for those who act on it."""
+    """Describe what one applied ticket changed, for the callbacks of ``watch``."""
 
     ticket: Ticket
     withdrawn: tuple[KeyDigest, ...]
     former_limits: Mapping[CustomerId, Customer]
-    """What the directory held of the ticket's customers before it."""
+    """The customers of the ticket as the directory held them before it."""
 
 
 class ControlService(Service):
-    """Apply views, tickets and host lists, and judge this node's own fitness."""
+    """Apply views, tickets and host lists; track this node's eligibility."""
 
     name = "control"
 
@@ -71,7 +71,7 @@
         limits = EligibilityLimits(
             freshness_ms=timings.freshness_ms,
             contact_ms=max(
-                timings.heartbeat_ms * MISSED_CONTACTS, timings.freshness_ms
+                timings.heartbeat_ms * CONTACT_HEARTBEATS, timings.freshness_ms
             ),
             failing_ms=timings.freshness_ms,
         )
@@ -80,7 +80,7 @@
             me,
             MembershipLimits(
                 silence_ms=timings.silence_ms,
-                witness_ms=timings.heartbeat_ms * MISSED_CONTACTS,
+                witness_ms=timings.heartbeat_ms * CONTACT_HEARTBEATS,
             ),
         )
         self.draining = False
@@ -90,13 +90,13 @@
         self.targets_digest = 0
         self.targets_read_ms = float("-inf")
         self._tail: dict[TicketNumber, bytes] = {}
-        self._was_fit = False
-        self._failing = False
+        self._was_eligible = False
+        self._is_platform_failing = False
         self._on_change: list[Callable[[Change], None]] = []
         self._on_view: list[Callable[[MemberView], None]] = []
         self._on_targets: list[Callable[[], None]] = []
-        self._on_behind: Callable[[MemberId], None] = lambda member: None
-        self._on_old_targets: Callable[[MemberId], None] = lambda member: None
+        self._on_newer_peer: Callable[[MemberId], None] = lambda member: None
+        self._on_newer_targets: Callable[[MemberId], None] = lambda member: None
         self._logger = Logger("control")
 
     def watch(
@@ -107,10 +107,10 @@
         behind: Callable[[MemberId], None] | None = None,
         old_targets: Callable[[MemberId], None] | None = None,
     ) -> None:
-        """Call back on applied tickets, new views and new host lists.
+        """Register callbacks for applied tickets, new views and new host lists.
 
-        ``behind`` is called with a peer that has applied more than this node,
-        ``old_targets`` with one that holds a newer host list.
+        ``behind`` is called with a peer that has applied later tickets or views than
+        this node, ``old_targets`` with a peer that holds a newer host list.
         """
         if change is not None:
             self._on_change.append(change)
@@ -119,9 +119,9 @@
         if targets is not None:
             self._on_targets.append(targets)
         if behind is not None:
-            self._on_behind = behind
+            self._on_newer_peer = behind
         if old_targets is not None:
-            self._on_old_targets = old_targets
+            self._on_newer_targets = old_targets
 
     @property
     def view(self) -> MemberView | None:
@@ -129,7 +129,7 @@
         return self.membership.view
 
     def eligible_until_ms(self) -> float:
-        """Return the deadline up to which this node may take new work."""
+        """Return the deadline until which this node may take new work."""
         return self.fitness.eligible_until_ms(now_ms())
 
     def is_eligible(self) -> bool:
@@ -137,16 +137,16 @@
         return now_ms() < self.eligible_until_ms()
 
     def key_active(self, credential: bytes) -> bool:
-        """Return True if the key is still in use."""
+        """Return True if the key is known and not withdrawn."""
         key = self.directory.key(KeyDigest(credential))
         return key is not None and key.state is KeyState.ACTIVE
 
     def approved(self, service: ServiceId, customer: CustomerId) -> bool:
-        """Return True if the service's owner lets the customer call it."""
+        """Return True if the service's owner approved the customer."""
         return self.directory.approved(service, customer)
 
     def adopt_view(self, view: MemberView) -> None:
-        """Adopt a view unless it is older than the present one."""
+        """Adopt a view unless it is older than the current one."""
         now = now_ms()
         if self.membership.adopt(view, now) is None:
             return
@@ -157,14 +157,17 @@
         for call in self._on_view:
             call(view)
 
-    def take_tickets(self, tickets: Iterable[Ticket]) -> None:
-        """Apply tickets in order; raise ``TicketConflictError`` on rewritten ones."""
+    def apply_tickets(self, tickets: Iterable[Ticket]) -> None:
+        """Apply tickets in order.
+
+        Raises ``TicketConflictError`` for a number that holds other content.
+        """
         for offered in tickets:
             for ticket in self.log.offer(offered):
                 self._apply(ticket)
 
-    def take_targets(self, targets: Iterable[Target], read_began_ms: float) -> None:
-        """Take a host list of the platform, unless a later one is here."""
+    def update_targets(self, targets: Iterable[Target], read_began_ms: float) -> None:
+        """Replace the host list unless the present one was read later."""
         if read_began_ms <= self.targets_read_ms:
             return
         self.targets_read_ms = read_began_ms
@@ -184,51 +187,51 @@
         for call in self._on_targets:
             call()
 
-    def stamped(self, read_began_ms: float) -> None:
-        """Note a whole read of the platform whose content is applied."""
+    def record_platform_read(self, read_began_ms: float) -> None:
+        """Record a complete read of the platform whose content is applied."""
         self.fitness.record_read(read_began_ms)
-        self._failing = False
-        self.note_fitness()
+        self._is_platform_failing = False
+        self.log_eligibility_change()
 
-    def platform_failed(self, at_ms: float) -> None:
-        """Note that a read of the platform failed."""
+    def record_platform_failure(self, at_ms: float) -> None:
+        """Record that a read of the platform failed."""
         self.fitness.platform_failing(at_ms)
-        self._failing = True
-        self.note_fitness()
+        self._is_platform_failing = True
+        self.log_eligibility_change()
 
-    def note_fitness(self) -> None:
-        """Log when this node turns fit or unfit."""
-        fit = self.is_eligible()
-        if fit == self._was_fit:
+    def log_eligibility_change(self) -> None:
+        """Log a change of this node's eligibility."""
+        is_eligible = self.is_eligible()
+        if is_eligible == self._was_eligible:
             return
-        self._was_fit = fit
+        self._was_eligible = is_eligible
         reason = self.fitness.reason(now_ms()).value
-        log_state_change(self._logger, "fit" if fit else "unfit", reason=reason)
+        log_state_change(self._logger, "fit" if is_eligible else "unfit", reason=reason)
 
     def standing(self) -> wire.Standing:
-        """Return what this node says of itself in a heartbeat."""
+        """Return the state that this node reports in a heartbeat."""
         now = now_ms()
         age_ms = self.fitness.stamp_age_ms(now)
         view = self.view
-        fit = now < self.fitness.eligible_until_ms(now)
+        is_eligible = now < self.fitness.eligible_until_ms(now)
         return wire.Standing(
             view_number=0 if view is None else view.number,
             applied_ticket=self.log.applied,
             draining=self.draining,
-            fit=fit,
-            unfit_reason="" if fit else self.fitness.reason(now).value,
+            fit=is_eligible,
+            unfit_reason="" if is_eligible else self.fitness.reason(now).value,
             has_stamp=age_ms is not None,
             stamp_age_ms=age_ms or 0.0,
             silent=self.membership.silent(now),
-            platform_failing=self._failing,
+            platform_failing=self._is_platform_failing,
             away=self.fitness.away(now),
             away_views=sorted(self.fitness.away_views(now)),
             targets_digest=self.targets_digest,
-            targets_age_ms=min(now - self.targets_read_ms, NO_TARGETS_MS),
+            targets_age_ms=min(now - self.targets_read_ms, MAX_TARGETS_AGE_MS),
         )
 
     def joining(self) -> wire.Joining | None:
-        """Return where this node is while it is not in the view."""
+        """Return this node's request to join the view, or None if it makes none."""
         me, view = self.me, self.view
         if self.draining or view is None or view.find(me.member) is not None:
             return None
@@ -241,7 +244,7 @@
         )
 
     def take_joining(self, member: MemberId, joining: wire.Joining) -> None:
-        """Take a new node's wish: one view then takes in all that start at once."""
+        """Record a new node's request; one view admits all nodes that start at once."""
         self.membership.record_join_request(
             ViewMember(
                 member,
@@ -253,8 +256,10 @@
             )
         )
 
-    def echoed(self, member: MemberId, standing: wire.Standing, sent_ms: float) -> None:
-        """Take a beat of ours that came back, sent at ``sent_ms``."""
+    def receive_echo(
+        self, member: MemberId, standing: wire.Standing, sent_ms: float
+    ) -> None:
+        """Record a peer's echo of this node's heartbeat of ``sent_ms``."""
         self.record_message(member, standing)
         self.fitness.applied = self.log.applied
         self.fitness.record_echo(
@@ -268,28 +273,28 @@
         if standing.platform_failing:
             self.fitness.platform_failing(sent_ms)
         if self._has_newer_targets(standing, sent_ms):
-            self._on_old_targets(member)
-        if self._behind(standing):
-            self._on_behind(member)
+            self._on_newer_targets(member)
+        if self._is_behind(standing):
+            self._on_newer_peer(member)
         elif standing.has_stamp:
             self.fitness.record_relayed_read(sent_ms, standing.stamp_age_ms)
-        self.note_fitness()
+        self.log_eligibility_change()
 
     def record_message(self, member: MemberId, standing: wire.Standing) -> None:
-        """Take the word of a peer, without proof that it hears us."""
+        """Record a peer's state from a message that does not prove two-way contact."""
         now = now_ms()
         self.membership.record_message(member, now)
         for silent in standing.silent:
             self.membership.record_silence_report(MemberId(silent), member, now)
 
     def tail(self, after: TicketNumber, limit: int) -> list[bytes] | None:
-        """Return applied tickets after a number, None if no longer kept."""
+        """Return applied tickets after a number, or None if any is no longer kept."""
         if after >= self.log.applied:
             return []
-        wanted = range(after + 1, min(self.log.applied, after + limit) + 1)
-        found = [self._tail.get(TicketNumber(number)) for number in wanted]
-        present = [content for content in found if content is not None]
-        return present if len(present) == len(found) else None
+        numbers = range(after + 1, min(self.log.applied, after + limit) + 1)
+        contents = [self._tail.get(TicketNumber(number)) for number in numbers]
+        present = [content for content in contents if content is not None]
+        return present if len(present) == len(contents) else None
 
     def install(self, number: TicketNumber, content: bytes) -> bool:
         """Start from a snapshot; return False if it is not newer."""
@@ -309,7 +314,8 @@
     def _has_newer_targets(self, standing: wire.Standing, sent_ms: float) -> bool:
         """Return True if a peer read another host list later than this node did.
 
-        A list read as old as that says that a peer cannot read it, either.
+        Equal lists share the later read time. A peer's older list shows that the peer
+        cannot read the platform, either.
         """
         if standing.targets_digest == self.targets_digest:
             read_ms = sent_ms - standing.targets_age_ms
@@ -317,7 +323,7 @@
             return False
         return sent_ms - standing.targets_age_ms > self.targets_read_ms
 
-    def _behind(self, standing: wire.Standing) -> bool:
+    def _is_behind(self, standing: wire.Standing) -> bool:
         view_number = 0 if self.view is None else self.view.number
         return (
             standing.applied_ticket > self.log.applied
@@ -325,7 +331,7 @@
         )
 
     def _apply(self, ticket: Ticket) -> None:
-        former = [
+        previous = [
             self.directory.customer(customer.customer)
             for customer in ticket.set.customers
         ]
@@ -335,7 +341,7 @@
                 key.digest for key in ticket.set.keys if key.state is KeyState.WITHDRAWN
             )
             + ticket.remove.keys,
-            former_limits={held.customer: held for held in former if held},
+            former_limits={old.customer: old for old in previous if old},
         )
         self.directory.apply(changes_of(ticket))
         self._tail[ticket.number] = encode_ticket(ticket)
--- a/src/crocusspindle/services/follower.py
+++ b/src/crocusspindle/services/follower.py
@@ -1,6 +1,7 @@
 """Follow the platform's ticket log, member view and host list.
 
-A few nodes of each failure domain read the platform; the others learn from peers.
+A few nodes of each failure domain poll the platform; the others fetch updates from
+peers.
 """
 
 import asyncio
@@ -41,22 +42,22 @@
 TICKETS: Final = "tickets"
 FLEET: Final = "fleet"
 VIEW: Final = "view"
-PAGE: Final = 200
+PAGE_ROWS: Final = 200
 VIEWS_KEPT: Final = 64
-"""Member lists kept to record an outage under them once the platform is back."""
+"""Member lists of views kept to record an outage once the platform is reachable."""
 
-OWN_READ_FRACTION: Final = 0.5
-"""A node that learns from peers reads the platform itself once its stamp is this
-part of its life old: the pollers of its domain may all be gone at once."""
+OWN_READ_AGE_FRACTION: Final = 0.5
+"""Fraction of the freshness time after which a node that relies on peers reads the
+platform itself: all pollers of its domain may fail at once."""
 
 
 def ticket_key(number: TicketNumber) -> str:
-    """Return the row key of a ticket, in the order of the numbers."""
+    """Return the row key of a ticket; keys sort in the order of the numbers."""
     return f"{number:012d}"
 
 
 def target_message(target: Target) -> wire.ListedTarget:
-    """Return a listed target as peers send it."""
+    """Encode a listed target for a peer."""
     return wire.ListedTarget(
         target=target.target,
         service=target.service,
@@ -66,8 +67,8 @@
     )
 
 
-def target_from(message: wire.ListedTarget) -> Target:
-    """Return a listed target that a peer sent."""
+def target_from_message(message: wire.ListedTarget) -> Target:
+    """Decode a listed target sent by a peer."""
     return Target(
         target=TargetId(message.target),
         service=ServiceId(message.service),
@@ -78,7 +79,7 @@
 
 
 class FollowerService(Service):
-    """Read the platform or ask peers, and keep this node in the view."""
+    """Poll the platform or fetch from peers, and keep this node in the view."""
 
     name = "follower"
     needs = ("platform", "control", "peers")
@@ -98,64 +99,68 @@
         self._limits = limits
         self._snapshots = Snapshots(control, platform, timings)
         self._view_version = ABSENT
-        self._asking: set[MemberId] = set()
-        self._asking_targets: set[MemberId] = set()
-        self._names: dict[ViewNumber, tuple[MemberId, ...]] = {}
+        self._tail_requests: set[MemberId] = set()
+        self._targets_requests: set[MemberId] = set()
+        self._members_by_view: dict[ViewNumber, tuple[MemberId, ...]] = {}
         self._stopping = False
         self._logger = Logger("follower")
         control.watch(
-            behind=self._ask, view=self._follow, old_targets=self._ask_targets
+            behind=self._start_tail_request,
+            view=self._follow_view,
+            old_targets=self._start_targets_request,
         )
 
     async def start(self) -> None:
-        """Read what there is and begin to follow it."""
+        """Load the stored state and start polling."""
         with suppress(PlatformError):
             await self._snapshots.load()
             await self._read_all()
         self.spawn(self._poll())
 
     async def drain(self) -> None:
-        """Say that this node leaves, and take it out of the view at the end."""
+        """Announce that this node leaves; ``stop`` removes it from the view."""
         self._control.draining = True
 
     async def leave(self) -> None:
-        """Take this node out of the view by its own word."""
+        """Propose a view without this node."""
         self._stopping = True
         self._control.membership.record_leave(self._control.me.member)
         with suppress(PlatformError):
             await self._propose()
 
     async def stop(self) -> None:
-        """Leave the view; a platform that is away will not hear of it."""
+        """Leave the view; during a platform outage it is not recorded."""
         await self.leave()
 
     def _deadline_ms(self) -> float:
         return now_ms() + self._timings.platform_timeout_ms
 
-    def _follow(self, view: MemberView) -> None:
-        self._names[view.number] = view.names
-        while len(self._names) > VIEWS_KEPT:
-            del self._names[min(self._names)]
+    def _follow_view(self, view: MemberView) -> None:
+        self._members_by_view[view.number] = view.names
+        while len(self._members_by_view) > VIEWS_KEPT:
+            del self._members_by_view[min(self._members_by_view)]
         self._peers.follow(view.members)
 
-    def _polls(self) -> bool:
-        """Return True if this node is one of its domain's readers."""
+    def _is_poller(self) -> bool:
+        """Return True if this node polls the platform for its domain."""
         view, me = self._control.view, self._control.me
         if view is None or view.find(me.member) is None:
             return True
-        own = [one.member for one in view.members if one.domain == me.domain]
-        first = order(b"poller", own)[: self._limits.pollers_per_domain]
-        return me.member in first
+        own_domain = [
+            other.member for other in view.members if other.domain == me.domain
+        ]
+        pollers = order(b"poller", own_domain)[: self._limits.pollers_per_domain]
+        return me.member in pollers
 
-    def _stamp_old(self) -> bool:
+    def _is_timestamp_old(self) -> bool:
         age_ms = self._control.fitness.stamp_age_ms(now_ms())
-        limit_ms = self._timings.freshness_ms * OWN_READ_FRACTION
+        limit_ms = self._timings.freshness_ms * OWN_READ_AGE_FRACTION
         return age_ms is None or age_ms > limit_ms
 
     async def _poll(self) -> None:
         while True:
             await asyncio.sleep(self._timings.poll_ms * random.uniform(0.8, 1.2) / 1e3)
-            if not self._polls() and not self._stamp_old():
+            if not self._is_poller() and not self._is_timestamp_old():
                 continue
             began_ms = now_ms()
             try:
@@ -164,23 +169,23 @@
                     await self._propose()
                     await self._snapshots.save_if_due()
             except PlatformError as error:
-                self._control.platform_failed(began_ms)
+                self._control.record_platform_failure(began_ms)
                 self._logger.debug(f"platform: {error}")
             except TicketConflictError as error:
                 log_state_change(self._logger, "ticket conflict", error=str(error))
 
     async def _read_all(self) -> None:
-        """Read view, tickets and hosts; a stamp counts from before the first read."""
+        """Read view, tickets and hosts, with a timestamp from before the first read."""
         began_ms = now_ms()
-        row, tickets_done, hosts = await asyncio.gather(
+        row, is_complete, hosts = await asyncio.gather(
             self._platform.get(FLEET, VIEW, self._deadline_ms()),
             self._read_tickets(),
             self._platform.hosts(self._deadline_ms()),
         )
-        self._take_view_row(row)
-        self._control.take_targets(hosts, began_ms)
-        if tickets_done:
-            self._control.stamped(began_ms)
+        self._apply_view_row(row)
+        self._control.update_targets(hosts, began_ms)
+        if is_complete:
+            self._control.record_platform_read(began_ms)
 
     async def catch_up(self) -> None:
         """Read the ticket log now, if the platform answers."""
@@ -191,92 +196,92 @@
         while True:
             after = ticket_key(self._control.log.applied)
             rows = await self._platform.read_range(
-                TICKETS, after, PAGE, self._deadline_ms()
+                TICKETS, after, PAGE_ROWS, self._deadline_ms()
             )
-            self._control.take_tickets(decode_ticket(row.value) for row in rows)
-            if len(rows) < PAGE:
+            self._control.apply_tickets(decode_ticket(row.value) for row in rows)
+            if len(rows) < PAGE_ROWS:
                 return True
 
-    def _take_view_row(self, row: Row | None) -> None:
+    def _apply_view_row(self, row: Row | None) -> None:
         if row is None:
             return
         self._view_version = max(self._view_version, row.version)
         self._control.adopt_view(decode_view(row.value))
 
     async def _propose(self) -> None:
-        """Write the next view on condition, when there is a reason for one."""
+        """Write the next view by a conditional put, if one is needed."""
         control, now = self._control, now_ms()
         fitness = control.fitness
-        standing = ProposerState(
+        proposer_state = ProposerState(
             eligible=now < fitness.fresh_until_ms(),
             in_majority=now < fitness.contact_until_ms(now),
             confirmed=fitness.confirmed(now),
         )
         proposed = control.membership.propose(
-            standing, now, unix_ms(), self._outages(now)
+            proposer_state, now, unix_ms(), self._outages(now)
         )
         if isinstance(proposed, NoProposalReason):
             return
         result = await self._platform.put(
             FLEET, VIEW, encode_view(proposed), self._view_version, self._deadline_ms()
         )
-        self._take_view_row(result.current)
+        self._apply_view_row(result.current)
 
     def _outages(self, now: float) -> list[Outage]:
-        """Return the views under which members acted without the platform."""
+        """Return the views under which members lost the platform."""
         return [
-            Outage(number, unix_ms(), self._names[number])
+            Outage(number, unix_ms(), self._members_by_view[number])
             for number in self._control.fitness.away_views(now)
-            if number in self._names
+            if number in self._members_by_view
         ]
 
-    def _ask(self, member: MemberId) -> None:
-        if member in self._asking:
+    def _start_tail_request(self, member: MemberId) -> None:
+        if member in self._tail_requests:
             return
-        self._asking.add(member)
-        self.spawn(self._learn(member))
+        self._tail_requests.add(member)
+        self.spawn(self._fetch_tail(member))
 
-    async def _learn(self, member: MemberId) -> None:
-        """Learn view and tickets from a peer that is ahead."""
+    async def _fetch_tail(self, member: MemberId) -> None:
+        """Fetch view and tickets from a peer that is ahead."""
         try:
             stub = self._peers.stub(member)
-            asked_ms = now_ms()
+            sent_ms = now_ms()
             async with asyncio.timeout(self._timings.platform_timeout_ms / 1e3):
                 reply = await stub.Tail(
-                    wire.TailRequest(after=self._control.log.applied, limit=PAGE),
+                    wire.TailRequest(after=self._control.log.applied, limit=PAGE_ROWS),
                     metadata=self._peers.metadata,
                 )
-            self._take_tail(reply, asked_ms)
+            self._apply_tail(reply, sent_ms)
         except (*PEER_FAILURES, TicketConflictError, ValueError) as error:
             self._logger.debug(f"tail of {member}: {error}")
         finally:
-            self._asking.discard(member)
+            self._tail_requests.discard(member)
 
-    def _ask_targets(self, member: MemberId) -> None:
-        if member not in self._asking_targets:
-            self._asking_targets.add(member)
-            self.spawn(self._learn_targets(member))
+    def _start_targets_request(self, member: MemberId) -> None:
+        if member not in self._targets_requests:
+            self._targets_requests.add(member)
+            self.spawn(self._fetch_targets(member))
 
-    async def _learn_targets(self, member: MemberId) -> None:
-        """Learn the host list from a peer that has read it later."""
+    async def _fetch_targets(self, member: MemberId) -> None:
+        """Fetch the host list from a peer that has read it later."""
         try:
-            asked_ms = now_ms()
+            sent_ms = now_ms()
             async with asyncio.timeout(self._timings.platform_timeout_ms / 1e3):
                 reply = await self._peers.stub(member).Targets(
                     wire.TargetsRequest(), metadata=self._peers.metadata
                 )
-            targets = [target_from(one) for one in reply.targets]
-            self._control.take_targets(targets, asked_ms - reply.age_ms)
+            targets = [target_from_message(listed) for listed in reply.targets]
+            self._control.update_targets(targets, sent_ms - reply.age_ms)
         except (*PEER_FAILURES, ValueError) as error:
             self._logger.debug(f"targets of {member}: {error}")
         finally:
-            self._asking_targets.discard(member)
+            self._targets_requests.discard(member)
 
-    def _take_tail(self, reply: wire.TailReply, asked_ms: float) -> None:
+    def _apply_tail(self, reply: wire.TailReply, sent_ms: float) -> None:
         control = self._control
         if reply.view:
             control.adopt_view(decode_view(reply.view))
-        control.take_tickets(decode_ticket(content) for content in reply.tickets)
+        control.apply_tickets(decode_ticket(content) for content in reply.tickets)
         caught_up = control.log.applied >= reply.applied_ticket
         if caught_up and reply.has_stamp:
-            control.fitness.record_relayed_read(asked_ms, reply.stamp_age_ms)
+            control.fitness.record_relayed_read(sent_ms, reply.stamp_age_ms)
--- a/src/crocusspindle/services/operator_api.py
+++ b/src/crocusspindle/services/operator_api.py
@@ -1,4 +1,4 @@
-"""Define what the operator port asks of the node behind it."""
+"""Define the interface between the operator port and its node."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class TouchKind(Enum):
-    """Tell what a part of a ticket changes, as far as rights depend on it."""
+    """Classify a change of a ticket, as far as permissions depend on it."""
 
     APPROVAL_GIVEN = "approval-given"
     APPROVAL_WITHDRAWN = "approval-withdrawn"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Touch:
-    """Name one thing that a ticket changes and its place in the document.
+    """Describe one change of a ticket and its place in the document.
 
     ``service`` is set for approvals, ``approved_by`` for those that are given.
     """
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketSummary:
-    """Tell what a well-formed ticket would change."""
+    """Summarize what a well-formed ticket would change."""
 
     number: TicketNumber
     sha256: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitResult:
-    """Tell that a ticket is recorded; ``repeated`` if it already was."""
+    """Confirm that a ticket is recorded; ``repeated`` if it already was."""
 
     number: TicketNumber
     sha256: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketRecord:
-    """Describe a recorded ticket and how far it has come.
+    """Describe a recorded ticket and its rollout.
 
     ``waiting_for`` names live members that have not confirmed it yet.
     """
@@ -66,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditEntry:
-    """Record one change: who, when, what it touched, before and after.
+    """Describe one change: author, time, changed paths, state before and after.
 
-    Entries are numbered by their ticket; they hold digests, never keys. None stands
-    for what was lost with the node that took the ticket.
+    An entry has the number of its ticket, and holds digests, never keys. None stands
+    for values lost with the node that accepted the ticket.
     """
 
     number: TicketNumber
@@ -82,7 +82,7 @@
 
 
 class OperatorBackend(Protocol):
-    """Do the work of the operator port.
+    """Execute the calls of the operator port.
 
     Calls raise ``TicketError`` for documents that cannot be accepted,
     ``TicketConflictError`` for a number that holds other content, ``NotFitError``
@@ -90,18 +90,18 @@
     """
 
     async def validate(self, document: bytes) -> TicketSummary:
-        """Return what a ticket would change against the state before its number.
+        """Return what a ticket would change in the state before its number.
 
-        Rights are checked on this answer. So a node that does not know that state
-        raises ``NotFitError``: else a ticket could give an approval again that its
+        Permissions are checked on this result. So a node that does not know that state
+        raises ``NotFitError``: otherwise a ticket could restore an approval that its
         owner has just withdrawn.
         """
 
     async def submit(self, document: bytes, principal: Principal) -> SubmitResult:
-        """Record a ticket; the same content again succeeds."""
+        """Record a ticket; submitting the same content again succeeds."""
 
     async def ticket(self, number: TicketNumber) -> TicketRecord | None:
-        """Return one ticket, or None when the number is not taken."""
+        """Return one ticket, or None if its number is unused."""
 
     async def tickets(self, after: TicketNumber, limit: int) -> Sequence[TicketRecord]:
         """Return tickets with numbers above ``after``, in order."""
@@ -110,4 +110,4 @@
         """Return audit entries of tickets above ``after``, in order."""
 
     async def status(self) -> Mapping[str, Any]:
-        """Return what the node knows about the fleet, ready for JSON."""
+        """Return the node's knowledge of the fleet, ready for JSON."""
--- a/src/crocusspindle/services/operator_port.py
+++ b/src/crocusspindle/services/operator_port.py
@@ -1,4 +1,4 @@
-"""Serve operators over HTTP: tickets, the audit trail and the fleet's status."""
+"""Serve the operators' HTTP API: tickets, the audit trail and the fleet's status."""
 
 import asyncio
 import dataclasses
@@ -30,21 +30,21 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-TICKET_BYTES_MAX: Final = 4 * 1024 * 1024
-"""Largest ticket: one that names all 32,000 routes at about 100 bytes each."""
+MAX_TICKET_BYTES: Final = 4 * 1024 * 1024
+"""Maximum ticket size: all 32,000 routes at about 100 bytes each."""
 
 BODY_TIMEOUT_S: Final = 15.0
-LIST_LIMIT_MAX: Final = 1_000
-LIST_LIMIT: Final = 100
+MAX_LIST_LIMIT: Final = 1_000
+DEFAULT_LIST_LIMIT: Final = 100
 RETRY_AFTER_MS: Final = 1_000.0
-NUMBER_MAX: Final = 2**63 - 1
+MAX_NUMBER: Final = 2**63 - 1
 
 _LOG: Final = Logger("operator")
 _PRINCIPAL: Final = web.RequestKey("principal", Principal)
 
 
 class _RefusalError(Exception):
-    """End a request with a status and findings."""
+    """Refuse a request with a status and findings."""
 
     def __init__(
         self, status: int, error: str, findings: Sequence[Finding] = ()
@@ -61,7 +61,7 @@
 ) -> web.Application:
     """Return the application of the operator port."""
     port = _OperatorPort(backend, principals, metrics)
-    app = web.Application(middlewares=[port.answer], client_max_size=TICKET_BYTES_MAX)
+    app = web.Application(middlewares=[port.respond], client_max_size=MAX_TICKET_BYTES)
     app.router.add_post("/v1/tickets", port.submit)
     app.router.add_post("/v1/tickets/validate", port.validate)
     app.router.add_get("/v1/tickets", port.tickets)
@@ -83,8 +83,8 @@
         self._metrics = metrics
 
     @web.middleware
-    async def answer(self, request: web.Request, handler: Handler) -> web.Response:
-        """Authenticate, and turn every error into a JSON answer."""
+    async def respond(self, request: web.Request, handler: Handler) -> web.Response:
+        """Authenticate, and turn every error into a JSON response."""
         try:
             request[_PRINCIPAL] = self._authenticate(request)
             response = await handler(request)
@@ -99,7 +99,7 @@
         return response
 
     async def submit(self, request: web.Request) -> web.Response:
-        """Check a ticket and the rights of its sender, then record it."""
+        """Check a ticket and the permissions of its sender, then record it."""
         principal = request[_PRINCIPAL]
         if principal.role is Role.VIEWER:
             raise _RefusalError(403, "viewers submit no tickets")
@@ -116,7 +116,7 @@
         return _json(result, status=200 if result.repeated else 201)
 
     async def validate(self, request: web.Request) -> web.Response:
-        """Check a ticket and the rights of its sender, and record nothing."""
+        """Check a ticket and the permissions of its sender; record nothing."""
         summary = await self._backend.validate(await _read_body(request))
         findings = check_rights(request[_PRINCIPAL], summary)
         if findings:
@@ -125,7 +125,7 @@
 
     async def ticket(self, request: web.Request) -> web.Response:
         """Return one ticket."""
-        number = _number(request.match_info["number"], "number", least=1)
+        number = _number(request.match_info["number"], "number", minimum=1)
         record = await self._backend.ticket(TicketNumber(number))
         if record is None:
             raise _RefusalError(404, f"there is no ticket {number}")
@@ -162,15 +162,17 @@
 
 
 def _page(request: web.Request) -> tuple[TicketNumber, int]:
-    after = _number(request.query.get("after", "0"), "after", least=0)
-    limit = _number(request.query.get("limit", str(LIST_LIMIT)), "limit", least=1)
-    return TicketNumber(after), min(limit, LIST_LIMIT_MAX)
+    after = _number(request.query.get("after", "0"), "after", minimum=0)
+    limit = _number(
+        request.query.get("limit", str(DEFAULT_LIST_LIMIT)), "limit", minimum=1
+    )
+    return TicketNumber(after), min(limit, MAX_LIST_LIMIT)
 
 
-def _number(text: str, name: str, least: int) -> int:
-    if text.isascii() and text.isdigit() and least <= int(text[:20]) <= NUMBER_MAX:
+def _number(text: str, name: str, minimum: int) -> int:
+    if text.isascii() and text.isdigit() and minimum <= int(text[:20]) <= MAX_NUMBER:
         return int(text)
-    finding = Finding("request", name, f"must be a whole number from {least}")
+    finding = Finding("request", name, f"must be a whole number from {minimum}")
     raise _RefusalError(400, "wrong request", [finding])
 
 
@@ -188,8 +190,8 @@
         wait_ms = getattr(error, "retry_after_ms", RETRY_AFTER_MS)
         headers["Retry-After"] = str(max(1, math.ceil(wait_ms / 1000)))
     elif isinstance(error, PlatformUnknownError):
-        # The write may have taken effect. To say "failed" would lead the operator
-        # to change the ticket and meet a conflict; the same ticket again is safe.
+        # The write may have taken effect. After "failed" the operator might change the
+        # ticket and get a conflict; submitting the same ticket again is idempotent.
         status = 504
         text = f"outcome unknown, submit the same ticket again: {error}"
     elif isinstance(error, web.HTTPException):
@@ -213,7 +215,7 @@
 
 
 def _finite(value: Any) -> Any:
-    """Put null in place of infinity, which is no JSON and ends strict readers."""
+    """Replace non-finite numbers by null: strict JSON parsers reject them."""
     if isinstance(value, float) and not math.isfinite(value):
         return None
     if isinstance(value, dict):
--- a/src/crocusspindle/services/operator_rights.py
+++ b/src/crocusspindle/services/operator_rights.py
@@ -1,4 +1,4 @@
-"""Decide what a principal may do at the operator port."""
+"""Check the permissions of principals at the operator port."""
 
 import hashlib
 import hmac
@@ -13,10 +13,10 @@
 
 
 def find_principal(principals: Sequence[Principal], key: str) -> Principal | None:
-    """Return whose key it is, in a time that does not depend on the key.
+    """Return the principal of a key, in a time that does not depend on the key.
 
-    A comparison that ends at the first differing byte lets an attacker find a
-    digest step by step by timing refusals.
+    A comparison that ends at the first differing byte would let an attacker find a
+    digest byte by byte by timing refusals.
     """
     digest = hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
     found = None
@@ -27,7 +27,7 @@
 
 
 def check_rights(principal: Principal, summary: TicketSummary) -> list[Finding]:
-    """Return a finding for each part of a ticket that the principal may not change."""
+    """Return a finding for each change that the principal may not make."""
     if principal.role is Role.VIEWER:
         return [Finding(SOURCE, ".", "viewers submit no tickets")]
     findings = []
@@ -40,7 +40,7 @@
 
 def _refusal(principal: Principal, touch: Touch) -> str | None:
     if principal.role is Role.OPERATOR:
-        # An operator who could approve would take the owner's decision away.
+        # Approval is the decision of the service's owner alone.
         if touch.kind is TouchKind.APPROVAL_GIVEN:
             return f"only the owner of {touch.service} gives this approval"
         return None
--- a/src/crocusspindle/services/platform_service.py
+++ b/src/crocusspindle/services/platform_service.py
@@ -1,4 +1,4 @@
-"""Hold the platform's adapter, measure its calls and close it at the end."""
+"""Wrap the platform's adapter: measure its calls and close it on stop."""
 
 from collections.abc import Awaitable, Sequence
 from typing import TypeVar
@@ -15,7 +15,7 @@
 
 
 class PlatformService(Service):
-    """Pass calls on to the adapter; see ``Platform`` for what they do."""
+    """Forward calls to the adapter; ``Platform`` documents them."""
 
     name = "platform"
 
@@ -28,7 +28,7 @@
         await self._adapter.close()
 
     async def get(self, table: str, key: str, deadline_ms: float) -> Row | None:
-        """Return one row, or None when there is none."""
+        """Return one row, or None if it does not exist."""
         return await self._measure("get", self._adapter.get(table, key, deadline_ms))
 
     async def put(
@@ -39,14 +39,14 @@
         expected_version: int,
         deadline_ms: float,
     ) -> PutResult:
-        """Write a row on condition that its version is the expected one."""
+        """Write a row if its version is the expected one."""
         writing = self._adapter.put(table, key, value, expected_version, deadline_ms)
         return await self._measure("put", writing)
 
     async def delete(
         self, table: str, key: str, expected_version: int, deadline_ms: float
     ) -> bool:
-        """Delete a row on condition of its version; return False if it differs."""
+        """Delete a row if its version is the expected one; return False if not."""
         call = self._adapter.delete(table, key, expected_version, deadline_ms)
         return await self._measure("delete", call)
 
@@ -58,17 +58,17 @@
         return await self._measure("read_range", reading)
 
     async def get_object(self, name: str, deadline_ms: float) -> bytes | None:
-        """Return a stored object, or None when there is none."""
+        """Return a stored object, or None if it does not exist."""
         reading = self._adapter.get_object(name, deadline_ms)
         return await self._measure("get_object", reading)
 
     async def put_object(self, name: str, content: bytes, deadline_ms: float) -> None:
-        """Store an object whole, in place of an older one."""
+        """Store an object, replacing an older one."""
         writing = self._adapter.put_object(name, content, deadline_ms)
         await self._measure("put_object", writing)
 
     async def hosts(self, deadline_ms: float) -> Sequence[Target]:
-        """Return the lagging list of live and leaving target hosts."""
+        """Return the list of live and leaving target hosts, which may lag."""
         return await self._measure("hosts", self._adapter.hosts(deadline_ms))
 
     async def _measure(self, call: str, work: Awaitable[T]) -> T:
@@ -85,6 +85,6 @@
             raise
         finally:
             self._metrics.add(instruments.PLATFORM_CALLS, call=call, result=result)
-            took_ms = now_ms() - began_ms
-            self._metrics.record(instruments.PLATFORM_CALL_MS, took_ms, call=call)
+            elapsed_ms = now_ms() - began_ms
+            self._metrics.record(instruments.PLATFORM_CALL_MS, elapsed_ms, call=call)
         return found
--- a/src/crocusspindle/services/snapshots.py
+++ b/src/crocusspindle/services/snapshots.py
@@ -1,4 +1,4 @@
-"""Shorten a start: keep the directory in the object store, load it before the log."""
+"""Shorten startup: store snapshots of the directory, loaded before the log."""
 
 import asyncio
 from typing import Final
@@ -16,33 +16,36 @@
 from crocusspindle.services.control import ControlService
 from crocusspindle.settings_schema import TimingSettings
 
-NAME: Final = "directory"
-TICKETS_BETWEEN: Final = 200
-"""Tickets after which the snapshot is renewed: 37 times a day at 7,400 tickets, so
-that a start reads one page of the log and the writer sends 20 MB every 40 minutes."""
+OBJECT_NAME: Final = "directory"
+TICKETS_PER_SNAPSHOT: Final = 200
+"""Tickets between two snapshots: 37 snapshots a day at 7,400 tickets, so that a start
+reads one page of the log and the writer sends 20 MB every 40 minutes."""
 
-OBJECT_TIMEOUTS: Final = 10.0
-"""A snapshot of 520,000 customers is 20 MB; it may take this many usual time-outs."""
+OBJECT_TIMEOUT_FACTOR: Final = 10.0
+"""A snapshot of 520,000 customers is 20 MB; its timeout is this many platform timeouts.
+"""
 
 
 class Snapshots:
-    """Load and save the directory as of one ticket."""
+    """Load and save the state of the directory at one ticket."""
 
     def __init__(
         self, control: ControlService, platform: Platform, timings: TimingSettings
     ) -> None:
         self._control = control
         self._platform = platform
-        self._timeout_ms = timings.platform_timeout_ms * OBJECT_TIMEOUTS
-        self._saved = TicketNumber(0)
+        self._timeout_ms = timings.platform_timeout_ms * OBJECT_TIMEOUT_FACTOR
+        self._saved_number = TicketNumber(0)
         self._logger = Logger("snapshots")
 
     async def load(self) -> None:
-        """Install the stored snapshot; one that is damaged is passed over.
+        """Install the stored snapshot; skip a damaged one.
 
-        The ticket log is whole, so a start without a snapshot only takes longer.
+        The ticket log is complete, so a start without a snapshot only takes longer.
         """
-        content = await self._platform.get_object(NAME, now_ms() + self._timeout_ms)
+        content = await self._platform.get_object(
+            OBJECT_NAME, now_ms() + self._timeout_ms
+        )
         if content is None:
             return
         try:
@@ -53,21 +56,24 @@
         except (ValueError, TypeError, InvalidInputError) as error:
             log_state_change(self._logger, "snapshot passed over", error=str(error))
             return
-        self._saved = TicketNumber(number)
+        self._saved_number = TicketNumber(number)
 
     async def save_if_due(self) -> None:
-        """Store a snapshot if this node is the one to do it and it is time.
+        """Store a snapshot if one is due and this node is its writer.
 
-        Two writers for a moment store the same or a slightly older state, which the
-        log makes up for; a stale snapshot is never installed over newer state.
+        Two writers may overlap briefly and store the same or a slightly older state.
+        The log covers the difference, and a stale snapshot is never installed over
+        newer state.
         """
         view, applied = self._control.view, self._control.log.applied
-        if view is None or applied < self._saved + TICKETS_BETWEEN:
+        if view is None or applied < self._saved_number + TICKETS_PER_SNAPSHOT:
             return
         if order(b"snapshot", view.names)[0] != self._control.me.member:
             return
         directory = dump(self._control.directory)
         digest = xxhash.xxh3_64_intdigest(directory)
         content = await asyncio.to_thread(msgpack.packb, [applied, digest, directory])
-        await self._platform.put_object(NAME, content, now_ms() + self._timeout_ms)
-        self._saved = applied
+        await self._platform.put_object(
+            OBJECT_NAME, content, now_ms() + self._timeout_ms
+        )
+        self._saved_number = applied
--- a/src/crocusspindle/services/ticket_apply.py
+++ b/src/crocusspindle/services/ticket_apply.py
@@ -1,4 +1,4 @@
-"""Bring the directory to the state after a ticket, and show the state before it."""
+"""Convert a ticket to changes of the directory, and read the state before it."""
 
 from collections.abc import Collection
 from typing import Any
@@ -14,11 +14,11 @@
 from crocusspindle.core.ticket_schema import Ticket
 from crocusspindle.ids import CustomerId, KeyDigest, ServiceId
 
-NOBODY = CustomerId("")
+NO_CUSTOMER = CustomerId("")
 
 
 class DirectoryFacts:
-    """Show a directory to the check of a ticket's references."""
+    """Provide a directory's state to the reference check of a ticket."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
@@ -32,35 +32,35 @@
         return self._directory.service(service) is not None
 
     def key_customer(self, digest: KeyDigest) -> CustomerId | None:
-        """Return the customer that a key is bound to, withdrawn or not."""
+        """Return the customer of a key, whether or not the key is withdrawn."""
         key = self._directory.key(digest)
         return None if key is None else key.customer
 
     def route_prefixes(self, service: ServiceId) -> Collection[str]:
-        """Return the prefixes that lead to a service."""
+        """Return the route prefixes that point to a service."""
         routes = self._directory.route_table
         return [route.prefix for route in routes if route.service == service]
 
 
 def changes_of(ticket: Ticket) -> list[Change]:
-    """Return the directory's changes in an order that keeps references whole."""
-    put, gone = ticket.set, ticket.remove
+    """Return the directory's changes in an order that keeps references valid."""
+    put, removed = ticket.set, ticket.remove
     items: list[Item] = [*put.customers, *put.services, *put.keys]
     items += [*put.routes, *put.approvals]
     changes: list[Change] = [Put(item) for item in items]
     changes += [
         Remove(Approval(approval.service, approval.customer, ""))
-        for approval in gone.approvals
+        for approval in removed.approvals
     ]
-    changes += [Remove(Route(prefix, ServiceId(""))) for prefix in gone.routes]
-    changes += [Remove(CustomerKey(digest, NOBODY)) for digest in gone.keys]
-    changes += [Remove(Service(service)) for service in gone.services]
-    changes += [Remove(Customer(customer, 1.0, 1)) for customer in gone.customers]
+    changes += [Remove(Route(prefix, ServiceId(""))) for prefix in removed.routes]
+    changes += [Remove(CustomerKey(digest, NO_CUSTOMER)) for digest in removed.keys]
+    changes += [Remove(Service(service)) for service in removed.services]
+    changes += [Remove(Customer(customer, 1.0, 1)) for customer in removed.customers]
     return changes
 
 
 def states_of(ticket: Ticket, directory: Directory) -> dict[str, dict[str, Any]]:
-    """Return the present state of everything that a ticket touches."""
+    """Return the current state of everything that a ticket changes."""
     return {
         "customers": _customers(ticket, directory),
         "keys": _keys(ticket, directory),
@@ -71,61 +71,63 @@
 
 
 def _customers(ticket: Ticket, directory: Directory) -> dict[str, Any]:
-    names = [one.customer for one in ticket.set.customers] + [*ticket.remove.customers]
-    found = {name: directory.customer(name) for name in names}
+    names = [item.customer for item in ticket.set.customers] + [
+        *ticket.remove.customers
+    ]
+    customers = {name: directory.customer(name) for name in names}
     return {
-        name: held
+        name: customer
         and {
-            "rate_per_s": held.rate_per_s,
-            "burst": held.burst,
-            "weight": held.weight,
+            "rate_per_s": customer.rate_per_s,
+            "burst": customer.burst,
+            "weight": customer.weight,
         }
-        for name, held in found.items()
+        for name, customer in customers.items()
     }
 
 
 def _keys(ticket: Ticket, directory: Directory) -> dict[str, Any]:
-    digests = [one.digest for one in ticket.set.keys] + [*ticket.remove.keys]
-    found = {digest: directory.key(digest) for digest in digests}
+    digests = [item.digest for item in ticket.set.keys] + [*ticket.remove.keys]
+    keys = {digest: directory.key(digest) for digest in digests}
     return {
-        digest.hex(): held and {"customer": held.customer, "state": held.state.value}
-        for digest, held in found.items()
+        digest.hex(): key and {"customer": key.customer, "state": key.state.value}
+        for digest, key in keys.items()
     }
 
 
 def _services(ticket: Ticket, directory: Directory) -> dict[str, Any]:
-    names = [one.service for one in ticket.set.services] + [*ticket.remove.services]
-    found = {name: directory.service(name) for name in names}
+    names = [item.service for item in ticket.set.services] + [*ticket.remove.services]
+    services = {name: directory.service(name) for name in names}
     return {
-        name: held
+        name: service
         and {
-            "floor_fraction": held.floor_fraction,
-            "timeout_ms": held.timeout_ms,
-            "hedge": held.hedge,
+            "floor_fraction": service.floor_fraction,
+            "timeout_ms": service.timeout_ms,
+            "hedge": service.hedge,
         }
-        for name, held in found.items()
+        for name, service in services.items()
     }
 
 
 def _routes(ticket: Ticket, directory: Directory) -> dict[str, Any]:
-    prefixes = [one.prefix for one in ticket.set.routes] + [*ticket.remove.routes]
-    held = {route.prefix: route for route in directory.route_table}
+    prefixes = [item.prefix for item in ticket.set.routes] + [*ticket.remove.routes]
+    routes = {route.prefix: route for route in directory.route_table}
     return {
         prefix: {
-            "service": held[prefix].service,
-            "idempotent_methods": sorted(held[prefix].idempotent_methods),
+            "service": routes[prefix].service,
+            "idempotent_methods": sorted(routes[prefix].idempotent_methods),
         }
-        if prefix in held
+        if prefix in routes
         else None
         for prefix in prefixes
     }
 
 
 def _approvals(ticket: Ticket, directory: Directory) -> dict[str, Any]:
-    pairs = [(one.service, one.customer) for one in ticket.set.approvals]
-    pairs += [(one.service, one.customer) for one in ticket.remove.approvals]
-    found: dict[str, dict[str, bool]] = {}
+    pairs = [(item.service, item.customer) for item in ticket.set.approvals]
+    pairs += [(item.service, item.customer) for item in ticket.remove.approvals]
+    states: dict[str, dict[str, bool]] = {}
     for service, customer in pairs:
         approved = directory.approved(service, customer)
-        found.setdefault(service, {})[customer] = approved
-    return found
+        states.setdefault(service, {})[customer] = approved
+    return states
--- a/tests/services/test_peers.py
+++ b/tests/services/test_peers.py
@@ -1,4 +1,4 @@
-"""Follow peers, and stop to."""
+"""Test connecting to peers and disconnecting from them."""
 
 import asyncio
 
@@ -10,28 +10,30 @@
 from crocusspindle.settings_schema import TimingSettings
 
 
-class StubbornPeers(Peers):
-    """Beat until cancelled, and then fail as a call on a closed connection does."""
+class PeersWithFailingCancellation(Peers):
+    """Run until cancelled, then raise the error of a call on a closed connection."""
 
-    beating = 0
+    streams_opened = 0
 
-    async def _beat_on_one_connection(self, peer):
-        self.beating += 1
-        assert self.beating <= 3, "the loop goes on after it was cancelled"
+    async def _run_heartbeat_stream(self, peer):
+        self.streams_opened += 1
+        assert self.streams_opened <= 3, (
+            "the heartbeat loop continued after its cancellation"
+        )
         try:
             await asyncio.sleep(3_600)
         except asyncio.CancelledError:
             raise StreamTerminatedError("connection closed") from None
 
 
-async def test_a_peer_that_left_is_beaten_to_no_more():
-    """A member leaves, or this node does, while a heartbeat is under way.
+async def test_heartbeats_to_a_removed_peer_stop():
+    """A member leaves, or this node does, during a heartbeat.
 
-    The call ends with the library's error instead of the cancellation. Taken for one
-    more failure of the peer, it would start the next round: the node would not end
-    within the time for its stop, and its operator would see a failed exit.
+    The call raises the library's error instead of the cancellation. If the loop treated
+    it as a failure of the peer, it would start the next round: the node would exceed
+    the time limit of its stop, and its operator would see a failed exit.
     """
-    peers = StubbornPeers(
+    peers = PeersWithFailingCancellation(
         MemberId("a@1"), "proof", TimingSettings(heartbeat_ms=1), None
     )
     member = ViewMember(
@@ -39,9 +41,9 @@
     )
     peers.follow([member])
     await asyncio.sleep(0.01)
-    assert peers.beating == 1
+    assert peers.streams_opened == 1
     peers.follow(())
     async with asyncio.timeout(1):
         await peers.cancel_tasks()
     await asyncio.sleep(0.05)
-    assert peers.beating == 1
+    assert peers.streams_opened == 1
