--- a/src/crocusspindle/services/ledger.py
+++ b/src/crocusspindle/services/ledger.py
@@ -1,4 +1,4 @@
-"""Hold operation records for entries: this node's part of running at most once."""
+"""Hold operation records for entries, so that keyed operations run at most once."""
 
 import asyncio
 from collections.abc import Iterable
@@ -44,33 +44,33 @@
 from crocusspindle.settings_schema import LimitSettings, TimingSettings
 from crocusspindle.wire import fleet_pb2 as wire
 
-FLUSHED: Final = "operations-flushed"
-"""The platform table with a row for each member that wrote its records of an outage."""
+FLUSHED_TABLE: Final = "operations-flushed"
+"""The platform table with a row for each member that flushed its outage records."""
 
 RECORD_TIMEOUT_S: Final = 0.25
-"""The second holder is a round trip of 3 ms away. One that needs a quarter of a
-second is paused or gone; the caller may try again sooner than it answers."""
+"""The second holder is a round trip of 3 ms away. One that needs a quarter of a second
+is paused or has failed, and a retry by the caller may be faster than its reply."""
 
-HEARTBEATS_WAITED: Final = 3
-"""Two heartbeats bring the proof of a majority, one may be lost. Whoever has none by
-then is cut off, and its caller is better told at once."""
+MAX_HEARTBEATS_WAITED: Final = 3
+"""Two heartbeats confirm contact with a majority, and one more may be lost. A node
+without a majority by then is isolated, and its caller is refused at once."""
 
-RIGHT_LOOKS: Final = 10
+AUTHORITY_CHECKS_PER_HEARTBEAT: Final = 10
 HOUSEKEEPING_S: Final = 1.0
-EXPIRE_EVERY: Final = 30
-LOAD_EVERY: Final = 2
-PAGE: Final = 500
-LOAD_PAGES: Final = 100
-"""50,000 rows, an hour of 14 keyed operations a second. A longer table is not read:
-after a change of members the window has to pass instead."""
+EXPIRE_EVERY_ROUNDS: Final = 30
+LOAD_EVERY_ROUNDS: Final = 2
+PAGE_ROWS: Final = 500
+MAX_LOAD_PAGES: Final = 100
+"""50,000 rows, an hour of 14 keyed operations a second. A longer table is not read;
+after a change of members the retention window has to pass instead."""
 
-MARKS_EVERY_MS: Final = 5_000.0
-"""An outage's marks are read until its keys' window ends. By 40 nodes that makes 8
-reads a second for each outage of the last hour, of two thousand."""
+MARKER_READ_INTERVAL_MS: Final = 5_000.0
+"""Flush markers of an outage are read until its keys' retention window ends. With 40
+nodes, each outage of the last hour costs 8 of the table's 2,000 reads a second."""
 
-FLUSH_AT_ONCE: Final = 32
-"""Rows written together after an outage: with 40 nodes far below what the table
-takes in a second, and 100 records a node are through in seconds."""
+FLUSH_BATCH_ROWS: Final = 32
+"""Rows written concurrently after an outage: with 40 nodes far below the table's write
+rate, and 100 records of a node are written in seconds."""
 
 
 class LedgerService(Service):
@@ -100,21 +100,21 @@
                 max_response_bytes=limits.operation_memory_bytes,
             ),
         )
-        self._adopted_ms = 0.0
-        self._marked: set[ViewNumber] = set()
-        self._marks_due_ms: dict[ViewNumber, float] = {}
-        self._tasks_once: set[asyncio.Task[None]] = set()
-        control.watch(view=self._take_view)
+        self._view_adopted_ms = 0.0
+        self._marked_views: set[ViewNumber] = set()
+        self._marker_reads_due_ms: dict[ViewNumber, float] = {}
+        self._settlement_tasks: set[asyncio.Task[None]] = set()
+        control.watch(view=self._update_view)
         metrics.observe(
             instruments.OPERATIONS_KEPT, lambda: [(float(len(self._ledger)), {})]
         )
 
     async def start(self) -> None:
-        """Begin to expire records and to flush those of an outage."""
-        self.spawn(self._keep_house())
+        """Start expiring records and flushing those of outages."""
+        self.spawn(self._run_housekeeping())
 
     def covers_window_for_all_keys(self) -> bool:
-        """Return True if memory alone may decide here on every key it holds."""
+        """Return True if memory alone may decide on every key that this node holds."""
         return self._ledger.holder_history.covers_window_for_all_keys(now_ms())
 
     def holders(self, name: OperationName) -> tuple[MemberId, ...]:
@@ -124,44 +124,44 @@
     async def begin(
         self, name: OperationName, attempt: Attempt, fingerprint: bytes
     ) -> Decision:
-        """Decide on an attempt, asking the second holder and the table."""
-        await self._until_right()
+        """Decide on an attempt, with the second holder and the table."""
+        await self._wait_for_authority()
         decision = self._ledger.begin(
-            name, attempt, fingerprint, self._right(), now_ms()
+            name, attempt, fingerprint, self._decision_authority(), now_ms()
         )
         while True:
             if isinstance(decision, RecordAtPeer):
-                reply = await self._ask_peer(decision)
+                reply = await self._record_at_peer(decision)
                 decision = self._ledger.peer_result(name, attempt, reply, now_ms())
             elif isinstance(decision, WriteRow | ReadRow):
                 result = await self._call_row(decision)
                 decision = self._ledger.row_result(name, attempt, result, now_ms())
             else:
-                self._send_on(self._ledger.pop_releases())
+                self._send_settlements(self._ledger.pop_releases())
                 return decision
 
     def settle(
-        self, name: OperationName, attempt: Attempt, answer: StoredResponse | None
+        self, name: OperationName, attempt: Attempt, response: StoredResponse | None
     ) -> None:
-        """Take an entry's word on its attempt; None says that it did not run."""
-        if answer is None:
+        """Record the response of an entry's attempt; None means that it did not run."""
+        if response is None:
             settled = self._ledger.released(name, attempt)
         else:
-            settled = self._ledger.finished(name, attempt, answer)
+            settled = self._ledger.finished(name, attempt, response)
         if settled is not None:
-            self._send_on([settled])
+            self._send_settlements([settled])
 
-    def record(self, asked: wire.RecordBegunRequest) -> wire.RecordBegunReply:
+    def record(self, request: wire.RecordBegunRequest) -> wire.RecordBegunReply:
         """Record an attempt for the other holder."""
-        replaces = asked.replaces
-        question = RecordAtPeer(
+        replaces = request.replaces
+        peer_request = RecordAtPeer(
             peer=self._control.me.member,
-            view=ViewNumber(asked.view_number),
-            record=decode_record(asked.record),
-            mode=LedgerMode(asked.mode),
-            replaces=attempt_from(replaces) if asked.HasField("replaces") else None,
+            view=ViewNumber(request.view_number),
+            record=decode_record(request.record),
+            mode=LedgerMode(request.mode),
+            replaces=attempt_from(replaces) if request.HasField("replaces") else None,
         )
-        reply = self._ledger.record_for_peer(question, now_ms())
+        reply = self._ledger.record_for_peer(peer_request, now_ms())
         return wire.RecordBegunReply(
             verdict=reply.verdict.value,
             complete=reply.complete,
@@ -169,45 +169,49 @@
         )
 
     def peer_settled(self, record: Record) -> None:
-        """Take the other holder's word on the end of an attempt."""
+        """Apply the end of an attempt as the other holder reported it."""
         self._ledger.peer_settled(record)
 
-    async def _until_right(self) -> None:
-        """Wait for a majority that knows a view written just now.
+    async def _wait_for_authority(self) -> None:
+        """Wait until a majority is known to have a view that was just written.
 
-        Each planned restart writes two views, and about a heartbeat passes until a
-        majority has shown that it knows one. Orders of that moment would be refused.
+        Each planned restart writes two views, and a majority confirms each after about
+        a heartbeat. Operations that arrive in between would be refused.
         """
-        until_ms = self._adopted_ms + self._timings.heartbeat_ms * HEARTBEATS_WAITED
-        while now_ms() < until_ms and now_ms() >= self._right().until_ms:
-            await asyncio.sleep(self._timings.heartbeat_ms / RIGHT_LOOKS / 1e3)
+        until_ms = (
+            self._view_adopted_ms + self._timings.heartbeat_ms * MAX_HEARTBEATS_WAITED
+        )
+        while now_ms() < until_ms and now_ms() >= self._decision_authority().until_ms:
+            await asyncio.sleep(
+                self._timings.heartbeat_ms / AUTHORITY_CHECKS_PER_HEARTBEAT / 1e3
+            )
 
-    def _right(self) -> DecisionAuthority:
-        """Return by what operations may be decided now, and until when."""
+    def _decision_authority(self) -> DecisionAuthority:
+        """Return whether table or peers may decide operations now, and until when."""
         fitness, now = self._control.fitness, now_ms()
-        # Ahead of each decision: a right to decide by table may have come with the
-        # very echo that told of an outage whose records are not in it yet.
+        # Before each decision: the echo that granted authority by table may also have
+        # reported an outage whose records are not in the table yet.
         self._ledger.note_outages(fitness.away_views(now))
         table_until_ms = fitness.table_until_ms(now)
         if now < table_until_ms:
             return DecisionAuthority(LedgerMode.TABLE, table_until_ms)
         return DecisionAuthority(LedgerMode.PEER, fitness.peer_until_ms(now))
 
-    def _take_view(self, view: MemberView) -> None:
+    def _update_view(self, view: MemberView) -> None:
         self._ledger.adopt(view, now_ms())
-        self._adopted_ms = now_ms()
+        self._view_adopted_ms = now_ms()
 
-    async def _ask_peer(self, asked: RecordAtPeer) -> PeerReply | None:
+    async def _record_at_peer(self, step: RecordAtPeer) -> PeerReply | None:
         request = wire.RecordBegunRequest(
-            view_number=asked.view,
-            record=encode_record(asked.record),
-            mode=asked.mode.value,
+            view_number=step.view,
+            record=encode_record(step.record),
+            mode=step.mode.value,
         )
-        if asked.replaces is not None:
-            request.replaces.CopyFrom(attempt_message(asked.replaces))
+        if step.replaces is not None:
+            request.replaces.CopyFrom(attempt_message(step.replaces))
         try:
             async with asyncio.timeout(RECORD_TIMEOUT_S):
-                reply = await self._peers.stub(asked.peer).RecordBegun(
+                reply = await self._peers.stub(step.peer).RecordBegun(
                     request, metadata=self._peers.metadata
                 )
         except PEER_FAILURES:
@@ -236,40 +240,42 @@
         outcome = RowOutcome.APPLIED if result.applied else RowOutcome.FOUND
         return RowResult(outcome, row.version, row.value)
 
-    def _send_on(self, settled: Iterable[Settlement]) -> None:
-        for one in settled:
-            task = asyncio.create_task(self._send_on_one(one))
-            self._tasks_once.add(task)
-            task.add_done_callback(self._tasks_once.discard)
+    def _send_settlements(self, settlements: Iterable[Settlement]) -> None:
+        for settlement in settlements:
+            task = asyncio.create_task(self._send_settlement(settlement))
+            self._settlement_tasks.add(task)
+            task.add_done_callback(self._settlement_tasks.discard)
 
-    async def _send_on_one(self, settled: Settlement) -> None:
-        # Best effort: what is lost here leaves a record that refuses, never runs.
-        if settled.peer is not None:
+    async def _send_settlement(self, settlement: Settlement) -> None:
+        # Best effort: a lost message leaves a record that refuses and never runs.
+        if settlement.peer is not None:
             with suppress(*PEER_FAILURES):
                 async with asyncio.timeout(RECORD_TIMEOUT_S):
-                    await self._peers.stub(settled.peer).PeerSettled(
-                        wire.PeerSettledRequest(record=encode_record(settled.record)),
+                    await self._peers.stub(settlement.peer).PeerSettled(
+                        wire.PeerSettledRequest(
+                            record=encode_record(settlement.record)
+                        ),
                         metadata=self._peers.metadata,
                     )
-        if settled.row is not None:
-            await self._call_row(settled.row)
+        if settlement.row is not None:
+            await self._call_row(settlement.row)
 
-    async def _keep_house(self) -> None:
-        looks = 0
+    async def _run_housekeeping(self) -> None:
+        rounds = 0
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
-            looks += 1
-            if looks % EXPIRE_EVERY == 0:
+            rounds += 1
+            if rounds % EXPIRE_EVERY_ROUNDS == 0:
                 await self._expire()
             self._ledger.note_outages(self._control.fitness.away_views(now_ms()))
             if now_ms() < self._control.fitness.fresh_until_ms():
                 with suppress(PlatformError):
                     await self._flush()
-                    if looks % LOAD_EVERY == 0:
+                    if rounds % LOAD_EVERY_ROUNDS == 0:
                         await self._load()
 
     async def _expire(self) -> None:
-        """Drop old records, and their rows where this node granted them."""
+        """Drop old records, and their rows if this node granted them."""
         for record in self._ledger.expire(now_ms()):
             with suppress(PlatformError):
                 await self._delete_row(record)
@@ -282,7 +288,7 @@
             await self._platform.delete(TABLE, key, row.version, deadline_ms)
 
     async def _load(self) -> None:
-        """Read the table into memory, so that an outage may begin at any time."""
+        """Load the table, so that memory can decide when an outage begins."""
         view = self._control.view
         if view is None or self._ledger.holder_history.covers_window_for_all_keys(
             now_ms()
@@ -291,12 +297,12 @@
         if not self._may_load(view):
             return
         after = ""
-        for _ in range(LOAD_PAGES):
+        for _ in range(MAX_LOAD_PAGES):
             deadline_ms = now_ms() + self._timings.platform_timeout_ms
-            rows = await self._platform.read_range(TABLE, after, PAGE, deadline_ms)
+            rows = await self._platform.read_range(TABLE, after, PAGE_ROWS, deadline_ms)
             for row in rows:
                 self._ledger.load(decode_record(row.value), row.version, now_ms())
-            if len(rows) < PAGE:
+            if len(rows) < PAGE_ROWS:
                 break
             after = rows[-1].key
         else:
@@ -306,23 +312,23 @@
 
     def _may_load(self, view: MemberView) -> bool:
         fitness, now = self._control.fitness, now_ms()
-        settled = fitness.is_settled(view.number, now)
-        return settled and now < fitness.table_until_ms(now)
+        is_settled = fitness.is_settled(view.number, now)
+        return is_settled and now < fitness.table_until_ms(now)
 
     async def _flush(self) -> None:
-        """Write what only memory holds, then say so to the other members."""
+        """Write records that only memory holds, then a flush marker for other nodes."""
         rows = self._ledger.flush()
-        for first in range(0, len(rows), FLUSH_AT_ONCE):
-            batch = rows[first : first + FLUSH_AT_ONCE]
+        for first in range(0, len(rows), FLUSH_BATCH_ROWS):
+            batch = rows[first : first + FLUSH_BATCH_ROWS]
             await asyncio.gather(*(self._flush_row(row) for row in batch))
         outages = self._ledger.holder_history.outages()
-        self._marks_due_ms = {
-            number: self._marks_due_ms.get(number, 0.0) for number in outages
+        self._marker_reads_due_ms = {
+            number: self._marker_reads_due_ms.get(number, 0.0) for number in outages
         }
         for number in outages:
             if not self._ledger.flush():
-                await self._mark(number)
-            await self._read_marks(number)
+                await self._write_flush_marker(number)
+            await self._read_flush_markers(number)
 
     async def _flush_row(self, row: WriteRow) -> None:
         name = decode_record(row.value).name
@@ -332,21 +338,23 @@
         elif result.outcome is RowOutcome.FOUND:
             self._ledger.flush_result(name, result.version, result.value)
 
-    async def _mark(self, number: ViewNumber) -> None:
-        if number in self._marked:
+    async def _write_flush_marker(self, number: ViewNumber) -> None:
+        if number in self._marked_views:
             return
         key = f"{number:012d}/{self._control.me.member}"
         deadline_ms = now_ms() + self._timings.platform_timeout_ms
-        await self._platform.put(FLUSHED, key, b"", ABSENT, deadline_ms)
-        self._marked.add(number)
+        await self._platform.put(FLUSHED_TABLE, key, b"", ABSENT, deadline_ms)
+        self._marked_views.add(number)
 
-    async def _read_marks(self, number: ViewNumber) -> None:
-        if now_ms() < self._marks_due_ms[number]:
+    async def _read_flush_markers(self, number: ViewNumber) -> None:
+        if now_ms() < self._marker_reads_due_ms[number]:
             return
-        self._marks_due_ms[number] = now_ms() + MARKS_EVERY_MS
+        self._marker_reads_due_ms[number] = now_ms() + MARKER_READ_INTERVAL_MS
         prefix = f"{number:012d}/"
         deadline_ms = now_ms() + self._timings.platform_timeout_ms
-        rows = await self._platform.read_range(FLUSHED, prefix, 1_000, deadline_ms)
+        rows = await self._platform.read_range(
+            FLUSHED_TABLE, prefix, 1_000, deadline_ms
+        )
         for row in rows:
             if row.key.startswith(prefix):
                 member = MemberId(row.key.removeprefix(prefix))
@@ -354,31 +362,31 @@
 
 
 def attempt_message(attempt: Attempt) -> wire.Attempt:
-    """Return an attempt as peers send it."""
+    """Encode an attempt for a peer."""
     return wire.Attempt(owner=attempt.owner, number=attempt.number)
 
 
 def attempt_from(message: wire.Attempt) -> Attempt:
-    """Return an attempt that a peer sent."""
+    """Decode an attempt sent by a peer."""
     return Attempt(MemberId(message.owner), AttemptId(message.number))
 
 
-def answer_message(answer: StoredResponse) -> wire.KeptAnswer:
-    """Return a kept answer as peers send it."""
+def answer_message(response: StoredResponse) -> wire.KeptAnswer:
+    """Encode a stored response for a peer."""
     kept = wire.KeptAnswer(
-        status=answer.status,
-        digest=answer.digest,
-        has_body=answer.body is not None,
-        body=answer.body or b"",
+        status=response.status,
+        digest=response.digest,
+        has_body=response.body is not None,
+        body=response.body or b"",
     )
     kept.headers.extend(
-        wire.Header(name=name, value=text) for name, text in answer.headers
+        wire.Header(name=name, value=text) for name, text in response.headers
     )
     return kept
 
 
 def answer_from(message: wire.KeptAnswer) -> StoredResponse:
-    """Return a kept answer that a peer sent."""
+    """Decode a stored response sent by a peer."""
     return StoredResponse(
         status=message.status,
         digest=message.digest,
--- a/src/crocusspindle/services/operations.py
+++ b/src/crocusspindle/services/operations.py
@@ -1,4 +1,4 @@
-"""Ask for leave to run a keyed operation, and report how it ended."""
+"""Request permission to run a keyed operation, and report its outcome."""
 
 import asyncio
 import hashlib
@@ -35,17 +35,17 @@
 from crocusspindle.wire import fleet_pb2 as wire
 
 BEGIN_TIMEOUT_S: Final = 3.0
-"""A ledger node asks its peer for 0.25 s and the table up to four times with a
-second each; most answers come in a few ms."""
+"""A ledger node waits 0.25 s for its peer and makes up to four table calls of a second
+each; most replies come in a few ms."""
 
-AGAIN_AFTER_S: Final = 0.5
-"""A heartbeat, in which the next view gets round. Once only: while a holder is dead
-the caller should rather know at once, and come back when the view has changed."""
+UNDECIDED_RETRY_S: Final = 0.5
+"""Delay before the only retry: a heartbeat, in which the next view spreads. If a holder
+has failed, the caller is refused at once and retries when the view has changed."""
 
-SILENT: Final = "operation-holders"
+HOLDERS_SILENT: Final = "operation-holders"
 NOT_NOW: Final = "operation-not-now"
-UNDECIDED: Final = frozenset({SILENT, NOT_NOW})
-SETTLE_TRIES: Final = 4
+UNDECIDED: Final = frozenset({HOLDERS_SILENT, NOT_NOW})
+SETTLE_ATTEMPTS: Final = 4
 SETTLE_TIMEOUT_S: Final = 1.0
 RETRY_MS: Final = 1_000.0
 KEY_REUSED: Final = "operation-key-reused"
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Begun:
-    """Hold the leave to send an operation once, up to a deadline."""
+    """Permit sending an operation once, until a deadline."""
 
     name: OperationName
     attempt: Attempt
@@ -62,7 +62,7 @@
 
 
 class OperationsService(Service):
-    """Speak for the operations of this entry's callers with their ledger nodes."""
+    """Request decisions of ledger nodes on operations of this entry's callers."""
 
     name = "operations"
     needs = ("control", "peers", "ledger")
@@ -74,58 +74,60 @@
         self._peers = peers
         self._ledger = ledger
         self._numbers = count(1)
-        self._settling: set[asyncio.Task[None]] = set()
+        self._report_tasks: set[asyncio.Task[None]] = set()
 
     async def begin(
         self, name: OperationName, fingerprint: bytes
     ) -> Begun | StoredResponse | GivenUp:
-        """Return leave to run, the answer of the earlier run, or why not.
+        """Return a grant, the response of the earlier run, or the refusal.
 
-        Holders that cannot decide are asked once more. A holder that stops as
-        planned is silent for the moment until the others know the next view, and
-        an order of that moment need not go back to its caller.
+        Holders that cannot decide get one retry. A holder in a planned stop is silent
+        until the others have the next view, and an operation that arrives meanwhile
+        need not be refused.
         """
-        found = await self._begin_once(name, fingerprint)
-        if not isinstance(found, GivenUp) or found.reason not in UNDECIDED:
-            return found
-        await asyncio.sleep(AGAIN_AFTER_S)
+        result = await self._begin_once(name, fingerprint)
+        if not isinstance(result, GivenUp) or result.reason not in UNDECIDED:
+            return result
+        await asyncio.sleep(UNDECIDED_RETRY_S)
         return await self._begin_once(name, fingerprint)
 
     async def _begin_once(
         self, name: OperationName, fingerprint: bytes
     ) -> Begun | StoredResponse | GivenUp:
-        """Ask the first holder in reach.
+        """Request a decision from the first reachable holder.
 
-        Each attempt is asked of one holder only. An attempt whose reply is lost is
+        Each attempt goes to one holder only. An attempt whose reply is lost is
         released, since this entry will never send it.
         """
-        word = GivenUp(Outcome.NOT_RUN, SILENT, now_ms() + RETRY_MS)
+        unreached = GivenUp(Outcome.NOT_RUN, HOLDERS_SILENT, now_ms() + RETRY_MS)
         for holder in self._ledger.holders(name):
             if not self._reachable(holder):
                 continue
             attempt = Attempt(self._control.me.member, AttemptId(next(self._numbers)))
-            asked_ms = now_ms()
+            sent_ms = now_ms()
             try:
                 async with asyncio.timeout(BEGIN_TIMEOUT_S):
-                    reply = await self._ask(holder, name, attempt, fingerprint)
+                    reply = await self._request_decision(
+                        holder, name, attempt, fingerprint
+                    )
             except PEER_FAILURES:
-                self._settle(Begun(name, attempt, holder, 0.0), None)
-                return word
-            return _begun(reply, name, attempt, holder, asked_ms)
-        return word
+                self._start_report(Begun(name, attempt, holder, 0.0), None)
+                return unreached
+            return _decode_reply(reply, name, attempt, holder, sent_ms)
+        return unreached
 
-    def finished(self, begun: Begun, answer: StoredResponse) -> None:
-        """Report the answer of the one run."""
-        self._settle(begun, answer)
+    def finished(self, grant: Begun, response: StoredResponse) -> None:
+        """Report the response of the granted run."""
+        self._start_report(grant, response)
 
-    def released(self, begun: Begun) -> None:
-        """Report that the operation certainly was not and will not be sent."""
-        self._settle(begun, None)
+    def released(self, grant: Begun) -> None:
+        """Report that the operation was not sent and will not be."""
+        self._start_report(grant, None)
 
     def _reachable(self, holder: MemberId) -> bool:
         return holder == self._control.me.member or self._peers.connected(holder)
 
-    async def _ask(
+    async def _request_decision(
         self,
         holder: MemberId,
         name: OperationName,
@@ -145,32 +147,32 @@
             request, metadata=self._peers.metadata
         )
 
-    def _settle(self, begun: Begun, answer: StoredResponse | None) -> None:
-        task = asyncio.create_task(self._report(begun, answer))
-        self._settling.add(task)
-        task.add_done_callback(self._settling.discard)
+    def _start_report(self, grant: Begun, response: StoredResponse | None) -> None:
+        task = asyncio.create_task(self._report(grant, response))
+        self._report_tasks.add(task)
+        task.add_done_callback(self._report_tasks.discard)
 
     async def drain(self) -> None:
-        """Report what is still to be reported ahead of a planned stop."""
-        await asyncio.gather(*self._settling, return_exceptions=True)
-
-    async def _report(self, begun: Begun, answer: StoredResponse | None) -> None:
-        # A report that is lost costs a caller that repeats its key the answer; it
-        # is told "unknown" and nothing runs again.
-        if begun.holder == self._control.me.member:
-            self._ledger.settle(begun.name, begun.attempt, answer)
+        """Wait for pending reports before a planned stop."""
+        await asyncio.gather(*self._report_tasks, return_exceptions=True)
+
+    async def _report(self, grant: Begun, response: StoredResponse | None) -> None:
+        # After a lost report, a caller that sends the key again gets "unknown" instead
+        # of the response; nothing runs twice.
+        if grant.holder == self._control.me.member:
+            self._ledger.settle(grant.name, grant.attempt, response)
             return
         request = wire.SettleRequest(
-            customer=begun.name.customer,
-            key=begun.name.key,
-            attempt=attempt_message(begun.attempt),
+            customer=grant.name.customer,
+            key=grant.name.key,
+            attempt=attempt_message(grant.attempt),
         )
-        if answer is not None:
-            request.answer.CopyFrom(answer_message(answer))
-        for number in range(SETTLE_TRIES):
+        if response is not None:
+            request.answer.CopyFrom(answer_message(response))
+        for number in range(SETTLE_ATTEMPTS):
             with suppress(*PEER_FAILURES):
                 async with asyncio.timeout(SETTLE_TIMEOUT_S):
-                    await self._peers.stub(begun.holder).Settle(
+                    await self._peers.stub(grant.holder).Settle(
                         request, metadata=self._peers.metadata
                     )
                 return
@@ -178,7 +180,7 @@
 
 
 def fingerprint_of(method: str, path: str, body: bytes) -> bytes:
-    """Return a digest by which two requests under one key are told apart."""
+    """Return a digest that tells two requests under one key apart."""
     digest = hashlib.sha256()
     for part in (method.encode(), path.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -187,28 +189,34 @@
 
 
 def begin_reply(decision: Decision) -> wire.BeginReply:
-    """Return a ledger's decision as peers send it."""
+    """Encode a ledger's decision for a peer."""
     match decision:
         case Granted():
             within_ms = max(0.0, decision.dispatch_by_ms - now_ms())
             return wire.BeginReply(granted=wire.Granted(dispatch_within_ms=within_ms))
-        case AlreadyRan(answer):
-            return wire.BeginReply(already_ran=answer_message(answer))
+        case AlreadyRan(response):
+            return wire.BeginReply(already_ran=answer_message(response))
         case NotRun():
-            # Only a word that covers earlier attempts, too, may say "not run".
+            # "Not run" is correct only if the decision covers earlier attempts, too.
             known = Outcome.NOT_RUN if decision.covers_earlier else Outcome.UNKNOWN
-            return _withheld(known, NOT_NOW, decision.retry_at_ms)
+            return _withheld_reply(known, NOT_NOW, decision.retry_at_ms)
         case InProgress(retry_at_ms):
-            return _withheld(Outcome.UNKNOWN, "operation-in-progress", retry_at_ms)
+            return _withheld_reply(
+                Outcome.UNKNOWN, "operation-in-progress", retry_at_ms
+            )
         case OutcomeUnknown():
-            return _withheld(Outcome.UNKNOWN, "operation-unknown", decision.retry_at_ms)
+            return _withheld_reply(
+                Outcome.UNKNOWN, "operation-unknown", decision.retry_at_ms
+            )
         case FingerprintMismatch():
-            return _withheld(Outcome.NOT_RUN, KEY_REUSED, now_ms())
+            return _withheld_reply(Outcome.NOT_RUN, KEY_REUSED, now_ms())
         case _:
-            raise TypeError(f"{decision} is no final decision")
+            raise TypeError(f"{decision} is not a final decision")
 
 
-def _withheld(outcome: Outcome, reason: str, retry_at_ms: float) -> wire.BeginReply:
+def _withheld_reply(
+    outcome: Outcome, reason: str, retry_at_ms: float
+) -> wire.BeginReply:
     return wire.BeginReply(
         withheld=wire.Withheld(
             outcome=outcome.value,
@@ -218,17 +226,17 @@
     )
 
 
-def _begun(
+def _decode_reply(
     reply: wire.BeginReply,
     name: OperationName,
     attempt: Attempt,
     holder: MemberId,
-    asked_ms: float,
+    sent_ms: float,
 ) -> Begun | StoredResponse | GivenUp:
     kind = reply.WhichOneof("decision")
     if kind == "granted":
-        # Counted from our question: delay on the way can only shorten the leave.
-        dispatch_by_ms = asked_ms + reply.granted.dispatch_within_ms
+        # Counted from when the request was sent: delay can only shorten the grant.
+        dispatch_by_ms = sent_ms + reply.granted.dispatch_within_ms
         return Begun(name, attempt, holder, dispatch_by_ms)
     if kind == "already_ran":
         return answer_from(reply.already_ran)
