--- a/src/crocusspindle_standins/prove.py
+++ b/src/crocusspindle_standins/prove.py
@@ -176,7 +176,7 @@
     Case(
         "serving on while callers keep an address",
         8,
-        "tests/fleet/test_stops.py::test_a_rolling_restart_cuts_no_request",
+        "tests/fleet/test_stops.py::test_rolling_restart_interrupts_no_request",
         (
             Edit(
                 "src/crocusspindle/services/ports.py",
@@ -189,7 +189,7 @@
         "reading back a ticket whose answer was lost",
         9,
         "tests/fleet/test_tickets.py::"
-        "test_a_ticket_whose_answer_was_lost_is_accepted_once",
+        "test_ticket_with_a_lost_response_is_accepted_once",
         (
             Edit(
                 "src/crocusspindle/core/tickets.py",
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""Start a fleet of real processes for the features that need one."""
+"""Start a fleet of real processes for features tagged ``fleet``."""
 
 import asyncio
 import tempfile
@@ -18,10 +18,10 @@
     context.loop = asyncio.new_event_loop()
     context.fleet = None
     if "fleet" in feature.tags:
-        context.fleet = context.loop.run_until_complete(started())
+        context.fleet = context.loop.run_until_complete(start_fleet())
 
 
-async def started():
+async def start_fleet():
     return await Fleet.temporary(LAYOUT).__aenter__()
 
 
--- a/tests/features/steps/operators.py
+++ b/tests/features/steps/operators.py
@@ -1,4 +1,4 @@
-"""Run the commands as operators do, and call the fleet as a customer does."""
+"""Run the commands of operators, and call the fleet as a customer."""
 
 import json
 import os
@@ -20,8 +20,8 @@
     "owner": "owner-" + OPERATOR_KEY,
     "somebody": "nobody-knows-me",
 }
-SHARES_OPEN_S = 30
-FIRST = {
+SHARES_TIMEOUT_S = 30
+FIRST_TICKET = {
     "customers": {"club": {"rate_per_s": 50.0, "burst": 100}},
     "keys": {sha256(CUSTOMER_KEY): {"customer": "club", "state": "active"}},
     "services": {"katalog": {"timeout_ms": 5000.0}},
@@ -38,7 +38,7 @@
         file.write_text(KEYS[who])
         node = context.fleet.nodes[0]
         words += ["--operator", node.operator_url, "--operator_key_file", str(file)]
-    context.ended = subprocess.run(
+    context.completed = subprocess.run(
         [sys.executable, "-m", "crocusspindle", *words],
         capture_output=True,
         text=True,
@@ -54,7 +54,7 @@
     command(context, "ticket", "submit", file, "--wait_ms", 17000, who=who)
 
 
-def ask(context, path, node=1, body=None, **headers):
+def send_request(context, path, node=1, body=None, **headers):
     """Return status and JSON body of a customer's request."""
     headers = {name.replace("_", "-"): value for name, value in headers.items()}
     request = urllib.request.Request(
@@ -69,16 +69,16 @@
         return error.code, json.load(error), error.headers
 
 
-def ask_in_time(context, *arguments, **more):
-    """Ask again as told while there are no tokens.
+def send_until_admitted(context, *arguments, **keywords):
+    """Send a request, and retry after 429 as the response says.
 
-    Shares of a new customer open empty, one lease after the view.
+    A new customer's shares start without tokens, one lease after the view.
     """
-    until = time.monotonic() + SHARES_OPEN_S
-    status, body, headers = ask(context, *arguments, **more)
-    while status == 429 and time.monotonic() < until:
+    deadline = time.monotonic() + SHARES_TIMEOUT_S
+    status, body, headers = send_request(context, *arguments, **keywords)
+    while status == 429 and time.monotonic() < deadline:
         time.sleep(float(headers["Crocusspindle-Retry-After-Ms"]) / 1000 + 0.05)
-        status, body, headers = ask(context, *arguments, **more)
+        status, body, headers = send_request(context, *arguments, **keywords)
     return status, body, headers
 
 
@@ -111,11 +111,11 @@
 
 @when("the operator submits ticket 1 with customer, key, service and route")
 def step_first(context):
-    submit(context, "operator", 1, FIRST)
+    submit(context, "operator", 1, FIRST_TICKET)
 
 
 @when("the operator submits other content as ticket 1")
-def step_rival(context):
+def step_conflicting(context):
     submit(context, "operator", 1, WITHDRAW)
 
 
@@ -141,32 +141,32 @@
 
 @then("the command ends with {code:d} and the ticket is {state}")
 def step_ticket_state(context, code, state):
-    assert context.ended.returncode == code, context.ended
+    assert context.completed.returncode == code, context.completed
     field = {"in force": "in_force", "repeated": "repeated"}[state]
-    assert json.loads(context.ended.stdout)[field] is True
+    assert json.loads(context.completed.stdout)[field] is True
 
 
 @then('the command ends with {code:d} and names "{text}"')
 def step_names(context, code, text):
-    assert context.ended.returncode == code, context.ended
-    assert text in context.ended.stderr, context.ended
+    assert context.completed.returncode == code, context.completed
+    assert text in context.completed.stderr, context.completed
 
 
 @then('the command names "{text}"')
 def step_names_too(context, text):
-    assert text in context.ended.stderr, context.ended
+    assert text in context.completed.stderr, context.completed
 
 
 @then("the command ends with 0 and {count:d} members are shown as fit")
 def step_members(context, count):
-    assert context.ended.returncode == 0, context.ended
-    members = json.loads(context.ended.stdout)["members"]
+    assert context.completed.returncode == 0, context.completed
+    members = json.loads(context.completed.stdout)["members"]
     assert [member["fit"] for member in members] == [True] * count
 
 
 @then('the customer is refused with {status:d} and the reason "{reason}"')
 def step_refused(context, status, reason):
-    got, body, headers = ask(context, "/bowls")
+    got, body, headers = send_request(context, "/bowls")
     assert (got, body["reason"]) == (status, reason), body
     assert headers["Crocusspindle-Outcome"] == "not-run"
 
@@ -176,13 +176,13 @@
     file = context.folder / "customer.key"
     file.write_text(CUSTOMER_KEY)
     command(context, "where", context.fleet.nodes[2].caller_url, file)
-    assert context.ended.returncode == 0, context.ended
-    assert len(json.loads(context.ended.stdout)["addresses"]) == count
+    assert context.completed.returncode == 0, context.completed
+    assert len(json.loads(context.completed.stdout)["addresses"]) == count
 
 
 @then("the customer's request runs at a target")
 def step_runs(context):
-    status, body, headers = ask_in_time(context, "/bowls")
+    status, body, headers = send_until_admitted(context, "/bowls")
     assert status == 200, body
     assert headers["Crocusspindle-Outcome"] == "ran"
     assert (body["service"], body["customer"]) == ("katalog", "club")
@@ -191,25 +191,25 @@
 @then("one payment sent to two nodes runs once and is answered twice")
 def step_once(context):
     key = "payment-1"
-    answers = [
-        ask_in_time(context, "/pay", node, b"10 ringgit", Idempotency_Key=key)
+    responses = [
+        send_until_admitted(context, "/pay", node, b"10 ringgit", Idempotency_Key=key)
         for node in (0, 1)
     ]
-    assert [status for status, _, _ in answers] == [200, 200], answers
-    assert answers[0][1] == answers[1][1]
-    judges = context.loop.run_until_complete(context.fleet.executions())
-    assert sum(judge["operations"].get(key, 0) for judge in judges) == 1
-    assert sum(judge["keys_seen"] for judge in judges) == 0
+    assert [status for status, _, _ in responses] == [200, 200], responses
+    assert responses[0][1] == responses[1][1]
+    targets = context.loop.run_until_complete(context.fleet.executions())
+    assert sum(target["operations"].get(key, 0) for target in targets) == 1
+    assert sum(target["keys_seen"] for target in targets) == 0
 
 
 @then("the audit trail names changes 1, 2 and 3 and never the key")
 def step_audit(context):
     command(context, "audit", who="operator")
-    entries = json.loads(context.ended.stdout)["audit"]
+    entries = json.loads(context.completed.stdout)["audit"]
     assert [entry["number"] for entry in entries] == [1, 2, 3]
     assert [entry["who"] for entry in entries] == ["operator", "owner", "operator"]
     assert all(entry["when_unix_ms"] for entry in entries)
-    assert CUSTOMER_KEY not in context.ended.stdout
+    assert CUSTOMER_KEY not in context.completed.stdout
     for log in Path(context.fleet.folder).glob("*.log"):
         assert CUSTOMER_KEY not in log.read_text(), log
 
--- a/tests/fleet/test_stops.py
+++ b/tests/fleet/test_stops.py
@@ -15,11 +15,11 @@
         await asyncio.sleep(0.05)
 
 
-async def test_a_rolling_restart_cuts_no_request(start_fleet):
-    """Every node is stopped and started in turn while callers keep old addresses.
+async def test_rolling_restart_interrupts_no_request(start_fleet):
+    """Nodes restart one after the other while callers use cached addresses.
 
-    Callers use each answer of the system for its full time and send long uploads.
-    A request that is cut sends a technician up the ladder again.
+    Callers keep each list of addresses for its full time to live, and some send long
+    uploads. An interrupted request costs the caller a manual repetition of its work.
     """
     caller = await start_fleet(group=TargetGroup("desk", 4, 8, 20.0))
     failures = []
@@ -28,14 +28,14 @@
 
     async def keep_calling(kind):
         nonlocal served
-        known, until_s = (), 0.0
+        addresses, until_s = (), 0.0
         while not stopping.is_set():
             if time.monotonic() >= until_s:
-                known = await caller.where_from_any()
+                addresses = await caller.where_from_any()
                 until_s = time.monotonic() + 2.0
             body = slow_upload() if kind == "upload" else None
             method = "POST" if kind == "upload" else "GET"
-            status, outcome, text = await caller.send_to(known[0], method, body)
+            status, outcome, text = await caller.send_to(addresses[0], method, body)
             served += status == 200
             if status != 200:
                 failures.append((kind, status, outcome, text))
@@ -55,8 +55,8 @@
     assert failures == []
 
 
-async def test_a_node_runs_as_one_process_without_io_uring(start_fleet):
-    """Hosts forbid io_uring and further processes; a library may bring them in."""
+async def test_node_runs_as_one_process_without_io_uring(start_fleet):
+    """Hosts forbid io_uring and child processes, which a library may introduce."""
     caller = await start_fleet()
     pid = caller.fleet.nodes[0].running.process.pid
     await caller.send(0)
--- a/tests/fleet/test_tickets.py
+++ b/tests/fleet/test_tickets.py
@@ -23,10 +23,10 @@
     return 200
 
 
-async def test_two_operators_race_for_one_number(start_fleet):
-    """Two operators submit different tickets under one number at the same moment.
+async def test_two_operators_submit_one_number_concurrently(start_fleet):
+    """Two operators submit different tickets under one number concurrently.
 
-    One must win everywhere; the other must be told, not lost in silence.
+    One must be accepted on every node; the other must be refused, not lost silently.
     """
     caller = await start_fleet()
     for number in range(3, 9):
@@ -46,10 +46,10 @@
     assert counts == {1 + 6}
 
 
-async def test_a_ticket_whose_answer_was_lost_is_accepted_once(start_fleet):
-    """The platform writes a ticket and the connection breaks before it says so.
+async def test_ticket_with_a_lost_response_is_accepted_once(start_fleet):
+    """The platform writes a ticket, and the connection breaks before the response.
 
-    The operator repeats it and must not hear that somebody else took the number.
+    The operator submits it again and must not get a conflict with its own ticket.
     """
     caller = await start_fleet()
     await caller.fleet.platform(mode="lose_answers")
@@ -61,12 +61,12 @@
     assert other == 409
 
 
-async def test_a_node_that_was_paused_neither_serves_by_old_state_nor_reverts(
+async def test_resumed_node_neither_serves_nor_spreads_stale_state(
     start_fleet,
 ):
-    """A node is stopped for longer than its stamp lasts. Meanwhile a key is withdrawn.
+    """A node is paused until its timestamp is stale, and a key is withdrawn meanwhile.
 
-    On waking it would serve the key, and tell others an old state.
+    When it resumes, it could serve the key and send the old state to its peers.
     """
     caller = await start_fleet()
     paused = caller.fleet.nodes[2]
@@ -85,8 +85,8 @@
         assert (await caller.send(node))[0] == 401
 
 
-async def test_a_new_node_starts_from_a_peer_while_the_platform_is_away(start_fleet):
-    """A host is replaced during an outage. It must not serve by an empty state."""
+async def test_new_node_starts_from_a_peer_during_a_platform_outage(start_fleet):
+    """A host is replaced during an outage; the new node must not serve empty state."""
     caller = await start_fleet()
     await caller.fleet.platform(mode="silent")
     await asyncio.sleep(3)
