--- a/tests/gateway/test_just_started.py
+++ b/tests/gateway/test_just_started.py
@@ -24,7 +24,7 @@
 from crocusspindle.ids import CustomerId, DomainId, ServiceId
 from crocusspindle.metrics import Metrics
 from crocusspindle.platform.documents import parse_configuration
-from tests.gateway.test_knowledge import informed, seat
+from tests.gateway.test_knowledge import make_fleet_state, view_entry
 
 RULE = CustomerRule(CustomerId("club"), rate_per_s=10.0, burst=10.0)
 DOCUMENT = json.dumps({"version": "00000001", "routes": {}}).encode()
@@ -43,7 +43,7 @@
 
 def placing_alone(knowledge):
     """Build the placing service of a node that is the only member."""
-    node = seat(0).node
+    node = view_entry(0).node
     rng = random.Random(1)
     metrics = Metrics(node.host, node.domain)
     exchange = Exchange((node.ip, node.peer_port), rng, metrics)
@@ -53,14 +53,14 @@
     placing = Placing(exchange, placers, rng, crashes)
     exchange.handle(PlaceAsk, placers._place_ask)
     knowledge.listen(placers._learn)
-    knowledge.take_view(View(1, (seat(0),)), now_ms())
+    knowledge.take_view(View(1, (view_entry(0),)), now_ms())
     knowledge.tell()
     return placing
 
 
 def make_request():
     return PlacementRequest(
-        sender=seat(0).node.host,
+        sender=view_entry(0).node.host,
         domain=DomainId("a"),
         route="pages",
         idempotent=True,
@@ -87,11 +87,11 @@
 
 
 def quota(keeper_exchange: KeeperExchange, born_ms: float) -> Quota:
-    knowledge = informed()
+    knowledge = make_fleet_state()
     knowledge.born_ms = born_ms
-    knowledge.take_view(View(4, (seat(0), seat(1))), now_ms())
+    knowledge.take_view(View(4, (view_entry(0), view_entry(1))), now_ms())
     bounds = LiveBounds(Bounds())
-    return Quota(seat(0).node, bounds, keeper_exchange, knowledge, now_ms())
+    return Quota(view_entry(0).node, bounds, keeper_exchange, knowledge, now_ms())
 
 
 async def test_first_caller_waits_for_the_first_configuration():
@@ -100,7 +100,7 @@
     The configuration arrives a tenth of a second later. Without a wait, callers would
     be refused after the fault is over.
     """
-    knowledge = informed()
+    knowledge = make_fleet_state()
     pending = asyncio.create_task(knowledge.first_configuration())
     await asyncio.sleep(0.02)
     assert not pending.done()
@@ -111,7 +111,7 @@
 
 async def test_wait_for_the_first_configuration_is_limited():
     """The platform is unreachable when a process starts, possibly for hours."""
-    knowledge = informed()
+    knowledge = make_fleet_state()
     knowledge.born_ms = now_ms() - FIRST_READ_MS
     assert await asyncio.wait_for(knowledge.first_configuration(), 0.01) is None
 
--- a/tests/gateway/test_knowledge.py
+++ b/tests/gateway/test_knowledge.py
@@ -22,7 +22,7 @@
     )
 
 
-def seat(number: int) -> ViewEntry:
+def view_entry(number: int) -> ViewEntry:
     node = NodeAddress(
         HostId(f"n{number}"),
         Incarnation(f"{number:08x}"),
@@ -34,7 +34,7 @@
     return ViewEntry(node, 1)
 
 
-def sent(state: State) -> State:
+def decoded_copy(state: State) -> State:
     """Return a state as it arrives at the other node."""
     arrived = unpack(unpacked(packed(pack(state))))
     assert isinstance(arrived, State)
@@ -42,13 +42,13 @@
 
 
 def state_for(sender: Knowledge, node: Knowledge) -> State:
-    return sent(sender.state_for(node.held_keys()))
+    return decoded_copy(sender.state_for(node.held_keys()))
 
 
-def informed() -> Knowledge:
+def make_fleet_state() -> Knowledge:
     knowledge = Knowledge(parse_configuration)
     knowledge.take_targets([target(n) for n in range(5)], 7, now_ms())
-    knowledge.take_view(View(3, tuple(seat(n) for n in range(5))), now_ms())
+    knowledge.take_view(View(3, tuple(view_entry(n) for n in range(5))), now_ms())
     knowledge.take_open_nodes([("127.0.0.1:80", "a")])
     return knowledge
 
@@ -59,19 +59,19 @@
     They hold no state yet. An empty document must not stop the querying process while
     no other node serves, nor may an empty list of targets replace its own.
     """
-    node, new_node = informed(), Knowledge(parse_configuration)
+    node, new_node = make_fleet_state(), Knowledge(parse_configuration)
     assert node.take_state(state_for(new_node, node), now_ms())
     assert len(node.targets.content) == 5
     assert node.open_nodes == [("127.0.0.1:80", "a")]
 
 
 def test_new_node_gets_full_documents_and_then_deltas():
-    reader, new_node = informed(), Knowledge(parse_configuration)
+    reader, new_node = make_fleet_state(), Knowledge(parse_configuration)
     full = state_for(reader, new_node)
     assert new_node.take_state(full, now_ms())
     assert new_node.targets.content == reader.targets.content
     assert new_node.view.content == reader.view.content
-    reader.take_view(View(4, tuple(seat(n) for n in range(4))), now_ms())
+    reader.take_view(View(4, tuple(view_entry(n) for n in range(4))), now_ms())
     change = state_for(reader, new_node)
     assert change.targets is None
     assert len(packed(pack(change))) < len(packed(pack(full))) / 2
@@ -84,16 +84,16 @@
 
     A confirmation taken from it would let a quota keeper act on an outdated view.
     """
-    reader, node = informed(), Knowledge(parse_configuration)
+    reader, node = make_fleet_state(), Knowledge(parse_configuration)
     node.take_state(state_for(reader, node), now_ms())
     confirmed_at_ms = node.view.confirmed_at_ms
-    reader.take_view(View(4, tuple(seat(n) for n in range(4))), now_ms())
+    reader.take_view(View(4, tuple(view_entry(n) for n in range(4))), now_ms())
     lost = reader.view.version
-    reader.take_view(View(5, tuple(seat(n) for n in range(3))), now_ms())
+    reader.take_view(View(5, tuple(view_entry(n) for n in range(3))), now_ms())
     held = HeldKeys(
         -1, reader.targets_digest, lost, reader.open_digest, reader.crash_digest
     )
-    push = sent(reader.state_for(held))
+    push = decoded_copy(reader.state_for(held))
     assert not node.take_state(push, now_ms() + 50.0)
     assert node.view.version == 3
     assert node.view.confirmed_at_ms == confirmed_at_ms
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -13,7 +13,12 @@
 from crocusspindle.gateway.knowledge import HeldKeys
 from crocusspindle.gateway.membership import Membership
 from crocusspindle.gateway.view_keeper import SETTLE_MS
-from tests.gateway.test_knowledge import informed, seat, sent, state_for
+from tests.gateway.test_knowledge import (
+    decoded_copy,
+    make_fleet_state,
+    state_for,
+    view_entry,
+)
 
 
 class FakeExchange:
@@ -44,8 +49,8 @@
     within ten seconds the bytes between failure domains cost seven times the value of
     all requests.
     """
-    reader, other, exchange = informed(), informed(), FakeExchange()
-    node, peer = seat(0).node, seat(1).node
+    reader, other, exchange = make_fleet_state(), make_fleet_state(), FakeExchange()
+    node, peer = view_entry(0).node, view_entry(1).node
     reading = SimpleNamespace(active=True, is_store_lost=False)
     membership = membership_of(node, exchange, reader, reading)
     membership._add_known_node(peer)
@@ -53,8 +58,8 @@
     membership._push()
     assert len(exchange.messages) == 1
     for number in (4, 5):
-        other.take_view(View(number, tuple(seat(n) for n in range(3))), now_ms())
-    update = sent(
+        other.take_view(View(number, tuple(view_entry(n) for n in range(3))), now_ms())
+    update = decoded_copy(
         other.state_for(
             HeldKeys(-1, other.targets_digest, 4, other.open_digest, other.crash_digest)
         )
@@ -73,12 +78,12 @@
     Each applies the other's list. Relayed as a change, the lists would be swapped
     without end: 280,000 datagrams between failure domains in five seconds.
     """
-    reader, other, exchange = informed(), informed(), FakeExchange()
+    reader, other, exchange = make_fleet_state(), make_fleet_state(), FakeExchange()
     reading = SimpleNamespace(active=True, is_store_lost=False)
-    membership = membership_of(seat(0).node, exchange, reader, reading)
+    membership = membership_of(view_entry(0).node, exchange, reader, reading)
     reader.listen(membership._push)
-    membership._add_known_node(seat(1).node)
-    membership._last_ping_ms[seat(1).node.host] = now_ms()
+    membership._add_known_node(view_entry(1).node)
+    membership._last_ping_ms[view_entry(1).node.host] = now_ms()
     membership._push()
     other.take_open_nodes([("127.0.0.1:81", "a")])
     await membership._state(state_for(other, reader), ("127.0.0.1", 7340))
@@ -94,8 +99,8 @@
     must not wait for it to write the view: nodes ping members only, so it would never
     write, and customers of the previous processes would have no quota keeper.
     """
-    ranked = order(READER_ROLE, [seat(n).node.host for n in range(3)])
-    numbers = {seat(n).node.host: n for n in range(3)}
+    ranked = order(READER_ROLE, [view_entry(n).node.host for n in range(3)])
+    numbers = {view_entry(n).node.host: n for n in range(3)}
     returning = numbers[ranked[fenced_rank]]
     rest = [numbers[host] for host in ranked if numbers[host] != returning]
     written = []
@@ -104,8 +109,8 @@
         written.append(view)
         return True
 
-    knowledge = informed()
-    view = View(9, tuple(seat(n) for n in rest), (seat(returning),))
+    knowledge = make_fleet_state()
+    view = View(9, tuple(view_entry(n) for n in rest), (view_entry(returning),))
     knowledge.take_view(view, now_ms())
     reading = SimpleNamespace(
         active=True,
@@ -116,11 +121,11 @@
         view_row_version=0,
         write_view=write_view,
     )
-    writer = seat(rest[0]).node
+    writer = view_entry(rest[0]).node
     membership = membership_of(writer, FakeExchange(), knowledge, reading)
     for number in (returning, rest[1]):
-        membership._add_known_node(seat(number).node)
-        membership._last_ping_ms[seat(number).node.host] = now_ms()
+        membership._add_known_node(view_entry(number).node)
+        membership._last_ping_ms[view_entry(number).node.host] = now_ms()
     await membership._views.renew(membership._present_nodes())
     (newest,) = written
     assert {s.node.host for s in newest.entries} == set(ranked)
