--- a/src/crocusspindle/gateway/assembly.py
+++ b/src/crocusspindle/gateway/assembly.py
@@ -85,8 +85,10 @@
     placers = Placers(node, bounds, exchange, knowledge, policies, crashes)
     placing = Placing(exchange, placers, rng, crashes)
     admission = Admission(bounds, dialect, knowledge)
-    sending = Sending(node, dialect, placing, metrics, rng)
-    entry = Entry(admission, dialect, knowledge, sending, quota, crashes, metrics)
+    attempt_runner = Sending(node, dialect, placing, metrics, rng)
+    entry = Entry(
+        admission, dialect, knowledge, attempt_runner, quota, crashes, metrics
+    )
     ports = Ports(
         settings, dialect, knowledge, membership, entry, metrics, bounds, lines
     )
--- a/src/crocusspindle/gateway/knowledge.py
+++ b/src/crocusspindle/gateway/knowledge.py
@@ -209,8 +209,8 @@
             records = msgpack.unpackb(crashes)
             self.take_crashes([unpacked_record(parts) for parts in records])
         if state.store_regained_age_ms < NEVER_MS:
-            back_at_ms = sent_ms - state.store_regained_age_ms
-            self.store_regained_at_ms = max(self.store_regained_at_ms, back_at_ms)
+            regained_at_ms = sent_ms - state.store_regained_age_ms
+            self.store_regained_at_ms = max(self.store_regained_at_ms, regained_at_ms)
         self.tell()
         applied = all(
             delta is None or encoding is not None
--- a/src/crocusspindle/gateway/messages.py
+++ b/src/crocusspindle/gateway/messages.py
@@ -138,7 +138,9 @@
     def without_documents(self) -> "State":
         """Return the state with versions and ages only."""
         from_store = (self.configuration, self.targets, self.view)
-        whole = any(packed and packed[0] == NO_BASE for packed in from_store)
+        needs_full_document = any(
+            packed and packed[0] == NO_BASE for packed in from_store
+        )
         too_long = self.document_bytes > MAX_DOCUMENT_BYTES
         return replace(
             self,
@@ -147,7 +149,7 @@
             view=None,
             open_nodes=None,
             crashes=None,
-            documents_deferred=whole or too_long,
+            documents_deferred=needs_full_document or too_long,
         )
 
 
--- a/src/crocusspindle/gateway/repeat_sharing.py
+++ b/src/crocusspindle/gateway/repeat_sharing.py
@@ -60,7 +60,8 @@
     def _publish(self, service: ServiceId, budget: RetryBudget) -> None:
         at_ms = now_ms()
         records = [
-            _record_fields(one, at_ms) for one in budget.records(self._own, at_ms)
+            _record_fields(counted_record, at_ms)
+            for counted_record in budget.records(self._own, at_ms)
         ]
         known_ms = round(budget.known_ms(at_ms))
         self._ranks.tell_others(service, RepeatsNote(service, known_ms, records))
