--- a/src/crocusspindle/services/assembly.py
+++ b/src/crocusspindle/services/assembly.py
@@ -17,11 +17,11 @@
 from crocusspindle.platform.adapter import PlatformAdapter, adapters
 from crocusspindle.services.backend import BackendService
 from crocusspindle.services.control import ControlService, unix_ms
+from crocusspindle.services.coordinator import CoordinatorService
 from crocusspindle.services.entry import EntryService
 from crocusspindle.services.follower import FollowerService
 from crocusspindle.services.gauges import watch_node
 from crocusspindle.services.hand_over import HandOverService
-from crocusspindle.services.home import HomeService
 from crocusspindle.services.ledger import LedgerService
 from crocusspindle.services.operations import OperationsService
 from crocusspindle.services.operator_port import operator_app
@@ -58,7 +58,7 @@
     control = ControlService(me, timings)
     peers = Peers(me.member, credential, timings, control, tls.peer_client)
     rates = RatesService(control, peers, timings, metrics)
-    coordinator = HomeService(control, peers, limits, metrics)
+    coordinator = CoordinatorService(control, peers, limits, metrics)
     follower = FollowerService(control, peers, platform, timings, limits)
     ledger = LedgerService(control, peers, platform, timings, limits, metrics)
     operations = OperationsService(control, peers, ledger)
--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -35,8 +35,8 @@
 from crocusspindle.platform.adapter import ABSENT, Platform, Row
 from crocusspindle.services.audit import AuditTrail
 from crocusspindle.services.control import ControlService, unix_ms
+from crocusspindle.services.coordinator import CoordinatorService
 from crocusspindle.services.follower import TICKETS, FollowerService, ticket_key
-from crocusspindle.services.home import HomeService
 from crocusspindle.services.ledger import LedgerService
 from crocusspindle.services.operator_api import (
     AuditEntry,
@@ -73,7 +73,7 @@
         control: ControlService,
         peers: Peers,
         rates: RatesService,
-        coordinator: HomeService,
+        coordinator: CoordinatorService,
         ledger: LedgerService,
         follower: FollowerService,
         platform: Platform,
--- a/src/crocusspindle/services/caller_response.py
+++ b/src/crocusspindle/services/caller_response.py
@@ -6,13 +6,13 @@
 from aiohttp import web
 
 from crocusspindle.core.operation_records import StoredResponse
-from crocusspindle.services import words
+from crocusspindle.services import error_responses
+from crocusspindle.services.error_responses import RefusedError
 from crocusspindle.services.hand_over import CoordinatorResponse
 from crocusspindle.services.peers import PEER_FAILURES
 from crocusspindle.services.targets import REQUEST_ID
-from crocusspindle.services.words import RefusedError
 
-FLEET_HEADERS = frozenset({REQUEST_ID.lower(), words.OUTCOME.lower()})
+FLEET_HEADERS = frozenset({REQUEST_ID.lower(), error_responses.OUTCOME.lower()})
 
 
 class ResponseRecorder:
@@ -59,7 +59,9 @@
         if header.lower() not in FLEET_HEADERS:
             response.headers.add(header, text)
     response.headers[REQUEST_ID] = request_id
-    response.headers[words.OUTCOME] = words.OUTCOME_TEXTS[coordinator_response.outcome]
+    response.headers[error_responses.OUTCOME] = error_responses.OUTCOME_TEXTS[
+        coordinator_response.outcome
+    ]
     connected = await _deliver(response.prepare(request), recorder)
     try:
         async for chunk in coordinator_response.body_chunks():
@@ -90,12 +92,12 @@
 def repeated_response(stored: StoredResponse, request_id: str) -> web.Response:
     """Return the stored response of an operation that has run."""
     if stored.body is None:
-        raise RefusedError(words.RESPONSE_NOT_KEPT)
+        raise RefusedError(error_responses.RESPONSE_NOT_KEPT)
     response = web.Response(status=stored.status, body=stored.body)
     for header, text in stored.headers:
         if header.lower() not in FLEET_HEADERS | {"content-length"}:
             response.headers[header] = text
     response.headers[REQUEST_ID] = request_id
-    response.headers[words.OUTCOME] = words.RAN
-    response.headers[words.REPEATED_RESPONSE] = "true"
+    response.headers[error_responses.OUTCOME] = error_responses.RAN
+    response.headers[error_responses.REPEATED_RESPONSE] = "true"
     return response
--- a/src/crocusspindle/services/caller_server.py
+++ b/src/crocusspindle/services/caller_server.py
@@ -6,8 +6,8 @@
 
 from aiohttp import web
 
-from crocusspindle.services import words
-from crocusspindle.services.words import ErrorResponse
+from crocusspindle.services import error_responses
+from crocusspindle.services.error_responses import ErrorResponse
 from crocusspindle.settings_schema import CallerSettings
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -65,7 +65,7 @@
         """Respond to a malformed request, with its outcome like any other response."""
         if request.writer.output_size > 0:
             raise ConnectionError("the response has started; closing its connection")
-        error = words.INTERNAL
+        error = error_responses.INTERNAL
         if status < SERVER_ERROR:
             detail = (message or "the request is malformed")[:MAX_DETAIL_CHARS]
             error = ErrorResponse(status, "malformed", detail)
--- a/src/crocusspindle/services/home.py
+++ b/src/crocusspindle/services/coordinator.py
@@ -33,9 +33,9 @@
 from crocusspindle.services.control import Change, ControlService
 from crocusspindle.services.group_meter import GroupMeter
 from crocusspindle.services.group_runner import GroupRunner
-from crocusspindle.services.handed_over import (
-    GivenUp,
+from crocusspindle.services.handed_over_request import (
     HandedOverRequest,
+    RequestFailure,
     ResponseReceived,
     ResponseTransfer,
     receive_head,
@@ -60,7 +60,7 @@
 1.5 ms."""
 
 
-class HomeService(Service):
+class CoordinatorService(Service):
     """Queue, place and dispatch requests that entries hand over."""
 
     name = "home"
@@ -109,12 +109,12 @@
             final=asyncio.get_running_loop().create_future(),
         )
         if not self._control.is_eligible():
-            refusal = GivenUp(Outcome.NOT_RUN, COORDINATOR_UNFIT, now_ms())
+            refusal = RequestFailure(Outcome.NOT_RUN, COORDINATOR_UNFIT, now_ms())
             await send_refusal(request, refusal, now_ms())
             return
         runner = self._get_runner((ServiceId(head.service), head.group))
         if now_ms() < runner.declines_until_ms and head.may_move:
-            refusal = GivenUp(Outcome.NOT_RUN, COORDINATOR_UNFIT, now_ms())
+            refusal = RequestFailure(Outcome.NOT_RUN, COORDINATOR_UNFIT, now_ms())
             await send_refusal(request, refusal, now_ms())
             return
         runner.arrive(request)
@@ -149,9 +149,9 @@
         self,
         runner: GroupRunner,
         request: HandedOverRequest,
-        final: ResponseReceived | GivenUp,
+        final: ResponseReceived | RequestFailure,
     ) -> None:
-        if isinstance(final, GivenUp):
+        if isinstance(final, RequestFailure):
             await send_refusal(request, final, now_ms())
             return
         transfer = ResponseTransfer.ENTRY_LOST
--- a/src/crocusspindle/services/entry.py
+++ b/src/crocusspindle/services/entry.py
@@ -22,20 +22,21 @@
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
 from crocusspindle.metrics import Metrics
-from crocusspindle.services import words
+from crocusspindle.services import error_responses
 from crocusspindle.services.caller_response import (
     ResponseRecorder,
     relay_response,
     repeated_response,
 )
 from crocusspindle.services.control import ControlService
+from crocusspindle.services.error_responses import ErrorResponse, RefusedError
 from crocusspindle.services.hand_over import (
     CallerRequest,
     CoordinatorResponse,
     HandOverService,
     HandOverState,
 )
-from crocusspindle.services.handed_over import GivenUp
+from crocusspindle.services.handed_over_request import RequestFailure
 from crocusspindle.services.operations import (
     Begun,
     OperationsService,
@@ -44,7 +45,6 @@
 from crocusspindle.services.peers import Peers
 from crocusspindle.services.rates import RatesService
 from crocusspindle.services.targets import CUSTOMER, DEADLINE, REQUEST_ID, forwarded
-from crocusspindle.services.words import ErrorResponse, RefusedError
 from crocusspindle.settings_schema import NodeSettings
 
 WHERE_PATH: Final = "/.well-known/crocusspindle/where"
@@ -120,7 +120,7 @@
             # say so.
             log_state_change(self._logger, "request failed", error=repr(error))
             self._logger.debug("request failed", exc_info=True)
-            response = words.INTERNAL.response(name)
+            response = error_responses.INTERNAL.response(name)
         finally:
             self.running -= 1
         self._record_metrics(response, service, caller, started_ms)
@@ -129,7 +129,7 @@
     def _record_metrics(
         self, response: web.StreamResponse, service: str, caller: str, started_ms: float
     ) -> None:
-        outcome = response.headers.get(words.OUTCOME, words.RAN)
+        outcome = response.headers.get(error_responses.OUTCOME, error_responses.RAN)
         self._metrics.add(instruments.REQUESTS, service=service, outcome=outcome)
         self._metrics.add(
             instruments.CUSTOMER_REQUESTS, customer=caller, outcome=outcome
@@ -144,22 +144,22 @@
         customer_id = directory.authenticate(key.strip())
         customer = None if customer_id is None else directory.customer(customer_id)
         if scheme.lower() != "bearer" or customer is None:
-            raise RefusedError(words.UNAUTHENTICATED)
+            raise RefusedError(error_responses.UNAUTHENTICATED)
         return customer, key_digest(key.strip())
 
     def _route(self, request: web.BaseRequest, customer: Customer) -> Route:
         route = self._control.directory.route(request.path)
         if route is None:
-            raise RefusedError(words.NO_ROUTE)
+            raise RefusedError(error_responses.NO_ROUTE)
         if not self._control.directory.approved(route.service, customer.customer):
-            raise RefusedError(words.NOT_APPROVED)
+            raise RefusedError(error_responses.NOT_APPROVED)
         return route
 
     def _serve_own_path(
         self, request: web.BaseRequest, customer: Customer
     ) -> web.Response:
         if request.path != WHERE_PATH:
-            raise RefusedError(words.NO_ROUTE)
+            raise RefusedError(error_responses.NO_ROUTE)
         self._check_eligible(customer.customer)
         addresses = [
             {"address": address, "domain": domain}
@@ -278,20 +278,20 @@
         if isinstance(begun, StoredResponse):
             self._rates.refund(call.customer, spent)
             return repeated_response(begun, call.request)
-        if isinstance(begun, GivenUp):
+        if isinstance(begun, RequestFailure):
             self._rates.refund(call.customer, spent)
-            raise RefusedError(words.failure_response(begun))
+            raise RefusedError(error_responses.failure_response(begun))
         by_ms = None if begun is None else begun.dispatch_by_ms
         state = HandOverState(call, dispatch_by_ms=by_ms)
         try:
             result = await self._hand_over.run(state)
-            if not isinstance(result, GivenUp):
+            if not isinstance(result, RequestFailure):
                 return await self._respond(request, call, result, begun)
             if result.outcome is Outcome.NOT_RUN:
                 self._rates.refund(call.customer, spent)
                 if begun is not None:
                     self._operations.released(begun)
-            raise RefusedError(words.failure_response(result))
+            raise RefusedError(error_responses.failure_response(result))
         finally:
             await state.close()
 
@@ -311,12 +311,12 @@
 
     async def _begin_operation(
         self, request: web.BaseRequest, call: CallerRequest
-    ) -> Begun | StoredResponse | GivenUp | None:
+    ) -> Begun | StoredResponse | RequestFailure | None:
         key = request.headers.get(OPERATION_KEY)
         if call.idempotent or key is None:
             return None
         if not 0 < len(key) <= MAX_OPERATION_KEY_CHARS or not key.isprintable():
-            raise RefusedError(words.BAD_OPERATION_KEY)
+            raise RefusedError(error_responses.BAD_OPERATION_KEY)
         name = OperationName(call.customer, OperationKey(key))
         return await self._operations.begin(
             name, fingerprint_of(call.method, call.path, call.body)
@@ -331,9 +331,9 @@
         try:
             requested_ms = float(text)
         except ValueError:
-            raise RefusedError(words.BAD_TIMEOUT) from None
+            raise RefusedError(error_responses.BAD_TIMEOUT) from None
         if not 0 < requested_ms < float("inf"):
-            raise RefusedError(words.BAD_TIMEOUT)
+            raise RefusedError(error_responses.BAD_TIMEOUT)
         return now_ms() + min(requested_ms, max_ms)
 
     async def _read_body(
@@ -364,9 +364,9 @@
             async with asyncio.timeout(self._settings.caller.slow_sender_ms / 1e3):
                 return await request.content.readany()
         except TimeoutError:
-            raise RefusedError(words.SLOW_SENDER) from None
+            raise RefusedError(error_responses.SLOW_SENDER) from None
         except (ClientError, HttpProcessingError, ConnectionError):
-            raise RefusedError(words.TRUNCATED_BODY) from None
+            raise RefusedError(error_responses.TRUNCATED_BODY) from None
 
     async def _spend_token(self, customer: Customer) -> Spent:
         result = await self._rates.spend(customer.customer)
--- a/src/crocusspindle/services/words.py
+++ b/src/crocusspindle/services/error_responses.py
@@ -10,7 +10,7 @@
 
 from crocusspindle.clock import now_ms
 from crocusspindle.core.decisions import Outcome
-from crocusspindle.services.handed_over import GivenUp
+from crocusspindle.services.handed_over_request import RequestFailure
 
 OUTCOME: Final = "Crocusspindle-Outcome"
 RETRY_AFTER_MS: Final = "Crocusspindle-Retry-After-Ms"
@@ -72,7 +72,7 @@
 }
 
 
-def failure_response(failure: GivenUp) -> ErrorResponse:
+def failure_response(failure: RequestFailure) -> ErrorResponse:
     """Return the error response to a request that the fleet refused or failed."""
     if failure.outcome is Outcome.NOT_RUN:
         return ErrorResponse(
--- a/src/crocusspindle/services/gauges.py
+++ b/src/crocusspindle/services/gauges.py
@@ -8,7 +8,7 @@
 from crocusspindle.core.health_state import HealthState
 from crocusspindle.metrics import Instrument, Metrics
 from crocusspindle.services.control import ControlService
-from crocusspindle.services.home import HomeService
+from crocusspindle.services.coordinator import CoordinatorService
 from crocusspindle.services.peers import Peers
 
 Measurements = Iterable[tuple[float, Mapping[str, str]]]
@@ -18,7 +18,7 @@
     metrics: Metrics,
     control: ControlService,
     peers: Peers,
-    coordinator: HomeService,
+    coordinator: CoordinatorService,
     connections: Callable[[], int],
 ) -> None:
     """Register the node's gauges, which are read from its services at each scrape."""
@@ -56,14 +56,14 @@
     return [(value, {"service": service}) for service, value in values.items()]
 
 
-def _queued(coordinator: HomeService) -> Counter[str]:
+def _queued(coordinator: CoordinatorService) -> Counter[str]:
     counts: Counter[str] = Counter()
     for service, status, _ in coordinator.groups():
         counts[service] += status.load.queued
     return counts
 
 
-def _ejected(coordinator: HomeService) -> Counter[str]:
+def _ejected(coordinator: CoordinatorService) -> Counter[str]:
     counts: Counter[str] = Counter()
     for service, _, targets in coordinator.groups():
         counts[service] += sum(
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -38,9 +38,9 @@
 from crocusspindle.errors import PeerError
 from crocusspindle.ids import AttemptId, CustomerId, RequestId, ServiceId, TargetId
 from crocusspindle.services.group_meter import GroupMeter
-from crocusspindle.services.handed_over import (
-    GivenUp,
+from crocusspindle.services.handed_over_request import (
     HandedOverRequest,
+    RequestFailure,
     ResponseReceived,
     ResponseTransfer,
     refusal_reason,
@@ -185,7 +185,9 @@
             case Finish(request, attempt):
                 self._respond(request, attempt, None)
             case Refuse(request, reason, retry_at_ms):
-                refusal = GivenUp(Outcome.NOT_RUN, refusal_reason(reason), retry_at_ms)
+                refusal = RequestFailure(
+                    Outcome.NOT_RUN, refusal_reason(reason), retry_at_ms
+                )
                 self._conclude(request, refusal)
             case Fail():
                 self._fail(decision)
@@ -202,7 +204,7 @@
     ) -> None:
         result = self._results.pop(attempt, None)
         if result is None or result.target_response is None:
-            failure = GivenUp(Outcome.UNKNOWN, "no-answer", now_ms() + RETRY_MS)
+            failure = RequestFailure(Outcome.UNKNOWN, "no-answer", now_ms() + RETRY_MS)
             self._conclude(request, failure)
             return
         self._conclude(request, ResponseReceived(result.target_response, outcome))
@@ -220,10 +222,12 @@
             self._respond(failed.request, last, failed.outcome)
             return
         reason = "target-failed" if failed.outcome is Outcome.UNKNOWN else "not-sent"
-        failure = GivenUp(failed.outcome, reason, failed.retry_at_ms)
+        failure = RequestFailure(failed.outcome, reason, failed.retry_at_ms)
         self._conclude(failed.request, failure)
 
-    def _conclude(self, request: RequestId, final: ResponseReceived | GivenUp) -> None:
+    def _conclude(
+        self, request: RequestId, final: ResponseReceived | RequestFailure
+    ) -> None:
         handed_over = self._requests.get(request)
         if handed_over is not None:
             handed_over.conclude(final)
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -16,8 +16,8 @@
 from crocusspindle.ids import CustomerId, MemberId, ServiceId, ViewNumber
 from crocusspindle.kernel import Service
 from crocusspindle.services.control import ControlService
-from crocusspindle.services.handed_over import GivenUp
-from crocusspindle.services.home import COORDINATOR_UNFIT, HomeService
+from crocusspindle.services.coordinator import COORDINATOR_UNFIT, CoordinatorService
+from crocusspindle.services.handed_over_request import RequestFailure
 from crocusspindle.services.links import EntryLink, LocalLink, RemoteEntryLink
 from crocusspindle.services.peers import PEER_FAILURES, Peers
 from crocusspindle.settings_schema import TimingSettings
@@ -151,7 +151,7 @@
         self,
         control: ControlService,
         peers: Peers,
-        coordinator: HomeService,
+        coordinator: CoordinatorService,
         timings: TimingSettings,
     ) -> None:
         self._control = control
@@ -163,14 +163,14 @@
         self._ranked_view = ViewNumber(0)
         self._ranks: dict[bytes, list[MemberId]] = {}
 
-    async def run(self, state: HandOverState) -> CoordinatorResponse | GivenUp:
+    async def run(self, state: HandOverState) -> CoordinatorResponse | RequestFailure:
         """Return the response's head, or the failure, by the deadline.
 
         The next coordinator is tried after one that is silent, not eligible or lost,
         but only while the request certainly has not started or may run twice.
         """
         call = state.call
-        last_refusal: GivenUp | None = None
+        last_refusal: RequestFailure | None = None
         groups = self._control.groups.get(call.service, ())
         if not groups:
             return self._failure(state, "no-target")
@@ -190,7 +190,10 @@
                 if state.granted and not call.replayable:
                     return self._failure(state, "home-lost")
                 continue
-            if isinstance(result, GivenUp) and result.reason == COORDINATOR_UNFIT:
+            if (
+                isinstance(result, RequestFailure)
+                and result.reason == COORDINATOR_UNFIT
+            ):
                 last_refusal = result
                 await state.close()
                 continue
@@ -199,14 +202,14 @@
         return self._final_result(state, failure)
 
     def _final_result(
-        self, state: HandOverState, result: CoordinatorResponse | GivenUp
-    ) -> CoordinatorResponse | GivenUp:
-        if not isinstance(result, GivenUp) or not state.begun_elsewhere:
+        self, state: HandOverState, result: CoordinatorResponse | RequestFailure
+    ) -> CoordinatorResponse | RequestFailure:
+        if not isinstance(result, RequestFailure) or not state.begun_elsewhere:
             return result
-        return GivenUp(Outcome.UNKNOWN, result.reason, result.retry_at_ms)
+        return RequestFailure(Outcome.UNKNOWN, result.reason, result.retry_at_ms)
 
-    def _failure(self, state: HandOverState, reason: str) -> GivenUp:
-        return GivenUp(state.outcome, reason, now_ms() + RETRY_MS)
+    def _failure(self, state: HandOverState, reason: str) -> RequestFailure:
+        return RequestFailure(state.outcome, reason, now_ms() + RETRY_MS)
 
     def _coordinators(self, group: Group) -> list[MemberId]:
         """Return the nodes that may coordinate the group, best first."""
@@ -255,7 +258,7 @@
 
     async def _negotiate(
         self, state: HandOverState, link: EntryLink, may_move: bool
-    ) -> CoordinatorResponse | GivenUp:
+    ) -> CoordinatorResponse | RequestFailure:
         call = state.call
         async with asyncio.timeout(self._timings.hand_over_ms / 1e3):
             await link.send(wire.HandOverFrame(head=_request_head(state, may_move)))
@@ -273,7 +276,7 @@
 
     async def _await_response(
         self, state: HandOverState, link: EntryLink, frame: wire.AnswerFrame
-    ) -> CoordinatorResponse | GivenUp:
+    ) -> CoordinatorResponse | RequestFailure:
         call = state.call
         while True:
             kind = frame.WhichOneof("frame")
@@ -299,7 +302,9 @@
             )
             self._chooser.update_load(state.group, load_seen)
 
-    async def _grant(self, state: HandOverState, link: EntryLink) -> GivenUp | None:
+    async def _grant(
+        self, state: HandOverState, link: EntryLink
+    ) -> RequestFailure | None:
         """Grant the coordinator's claim, or return the failure that prevents it."""
         call = state.call
         by_ms = state.dispatch_by_ms
@@ -375,8 +380,8 @@
     )
 
 
-def _failure_from(refusal: wire.Refusal) -> GivenUp:
-    return GivenUp(
+def _failure_from(refusal: wire.Refusal) -> RequestFailure:
+    return RequestFailure(
         outcome=Outcome(refusal.outcome),
         reason=refusal.reason,
         retry_at_ms=now_ms() + refusal.retry_after_ms,
--- a/src/crocusspindle/services/handed_over.py
+++ b/src/crocusspindle/services/handed_over_request.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class GivenUp:
+class RequestFailure:
     """Hold the outcome of a request that has no target's response."""
 
     outcome: Outcome
@@ -37,7 +37,7 @@
     retry_at_ms: float
 
 
-RequestResult: TypeAlias = ResponseReceived | GivenUp
+RequestResult: TypeAlias = ResponseReceived | RequestFailure
 
 
 def refusal_reason(reason: RefusalReason) -> str:
@@ -191,7 +191,7 @@
 
 
 async def send_refusal(
-    request: HandedOverRequest, failure: GivenUp, now_ms: float
+    request: HandedOverRequest, failure: RequestFailure, now_ms: float
 ) -> None:
     """Send the failure of a request that has no response."""
     refusal = wire.Refusal(
--- a/src/crocusspindle/services/operations.py
+++ b/src/crocusspindle/services/operations.py
@@ -24,7 +24,7 @@
 from crocusspindle.ids import AttemptId, MemberId
 from crocusspindle.kernel import Service
 from crocusspindle.services.control import ControlService
-from crocusspindle.services.handed_over import GivenUp
+from crocusspindle.services.handed_over_request import RequestFailure
 from crocusspindle.services.ledger import (
     LedgerService,
     answer_from,
@@ -78,7 +78,7 @@
 
     async def begin(
         self, name: OperationName, fingerprint: bytes
-    ) -> Begun | StoredResponse | GivenUp:
+    ) -> Begun | StoredResponse | RequestFailure:
         """Return a grant, the response of the earlier run, or the refusal.
 
         Holders that cannot decide get one retry. A holder in a planned stop is silent
@@ -86,20 +86,20 @@
         need not be refused.
         """
         result = await self._begin_once(name, fingerprint)
-        if not isinstance(result, GivenUp) or result.reason not in UNDECIDED:
+        if not isinstance(result, RequestFailure) or result.reason not in UNDECIDED:
             return result
         await asyncio.sleep(UNDECIDED_RETRY_S)
         return await self._begin_once(name, fingerprint)
 
     async def _begin_once(
         self, name: OperationName, fingerprint: bytes
-    ) -> Begun | StoredResponse | GivenUp:
+    ) -> Begun | StoredResponse | RequestFailure:
         """Request a decision from the first reachable holder.
 
         Each attempt goes to one holder only. An attempt whose reply is lost is
         released, since this entry will never send it.
         """
-        unreached = GivenUp(Outcome.NOT_RUN, HOLDERS_SILENT, now_ms() + RETRY_MS)
+        unreached = RequestFailure(Outcome.NOT_RUN, HOLDERS_SILENT, now_ms() + RETRY_MS)
         for holder in self._ledger.holders(name):
             if not self._reachable(holder):
                 continue
@@ -232,7 +232,7 @@
     attempt: Attempt,
     holder: MemberId,
     sent_ms: float,
-) -> Begun | StoredResponse | GivenUp:
+) -> Begun | StoredResponse | RequestFailure:
     kind = reply.WhichOneof("decision")
     if kind == "granted":
         # Counted from when the request was sent: delay can only shorten the grant.
@@ -241,7 +241,7 @@
     if kind == "already_ran":
         return answer_from(reply.already_ran)
     withheld = reply.withheld
-    return GivenUp(
+    return RequestFailure(
         Outcome(withheld.outcome),
         withheld.reason,
         now_ms() + withheld.retry_after_ms,
--- a/src/crocusspindle/services/ports.py
+++ b/src/crocusspindle/services/ports.py
@@ -19,12 +19,12 @@
 from crocusspindle.errors import PeerError
 from crocusspindle.ids import CustomerId, MemberId, OperationKey, TargetId, TicketNumber
 from crocusspindle.kernel import Service
-from crocusspindle.services import words
+from crocusspindle.services import error_responses
 from crocusspindle.services.caller_server import CallerServer
 from crocusspindle.services.control import ControlService
+from crocusspindle.services.coordinator import CoordinatorService
 from crocusspindle.services.entry import EntryService
 from crocusspindle.services.follower import target_message
-from crocusspindle.services.home import HomeService
 from crocusspindle.services.ledger import LedgerService, answer_from, attempt_from
 from crocusspindle.services.links import RemoteCoordinatorLink
 from crocusspindle.services.operations import begin_reply
@@ -51,7 +51,7 @@
         self,
         control: ControlService,
         rates: RatesService,
-        coordinator: HomeService,
+        coordinator: CoordinatorService,
         ledger: LedgerService,
     ) -> None:
         self._control = control
@@ -240,7 +240,7 @@
         listening_socket: socket.socket,
         settings: CallerSettings,
         entry: EntryService,
-        coordinator: HomeService,
+        coordinator: CoordinatorService,
         where_max_age_ms: float,
         tls: ssl.SSLContext | None = None,
     ) -> None:
@@ -269,7 +269,7 @@
         # Each open connection holds memory. Above the limit a caller is refused and
         # goes elsewhere, before the node runs out of memory.
         if self.connections > self._settings.max_connections:
-            response = words.TOO_MANY_CONNECTIONS.response("none")
+            response = error_responses.TOO_MANY_CONNECTIONS.response("none")
             response.force_close()
             return response
         return await self._entry.handle(request)
--- a/src/crocusspindle_standins/prove.py
+++ b/src/crocusspindle_standins/prove.py
@@ -69,7 +69,7 @@
                 "or False",
             ),
             Edit(
-                "src/crocusspindle/services/home.py",
+                "src/crocusspindle/services/coordinator.py",
                 "                runner.revoke(digest)",
                 "                pass",
             ),
@@ -104,7 +104,7 @@
     Case(
         "checking the id of an answer",
         4,
-        "tests/fleet/test_answers.py::test_crossed_and_truncated_responses_reach_no_caller",
+        "tests/fleet/test_responses.py::test_crossed_and_truncated_responses_reach_no_caller",
         (
             Edit(
                 "src/crocusspindle/services/targets.py",
@@ -128,7 +128,7 @@
     Case(
         "records of operations",
         6,
-        "tests/fleet/test_once.py::test_an_order_sent_to_every_entry_runs_once",
+        "tests/fleet/test_operations_run_once.py::test_an_order_sent_to_every_entry_runs_once",
         (
             Edit(
                 "src/crocusspindle/services/entry.py",
@@ -140,7 +140,7 @@
     Case(
         "reading back a row whose answer was lost",
         6,
-        "tests/fleet/test_once.py::test_the_tables_response_is_lost_after_the_write",
+        "tests/fleet/test_operations_run_once.py::test_the_tables_response_is_lost_after_the_write",
         (
             Edit(
                 "src/crocusspindle/services/ledger.py",
@@ -152,10 +152,10 @@
     Case(
         "asking the entry before an order is sent",
         6,
-        "tests/fleet/test_once.py::test_a_paused_coordinator_resumes",
+        "tests/fleet/test_operations_run_once.py::test_a_paused_coordinator_resumes",
         (
             Edit(
-                "src/crocusspindle/services/handed_over.py",
+                "src/crocusspindle/services/handed_over_request.py",
                 "        if not self.needs_claim:\n            return True",
                 "        if True:\n            return True",
             ),
@@ -164,7 +164,7 @@
     Case(
         "heeding the host list",
         7,
-        "tests/fleet/test_answers.py::test_a_leaving_target_gets_no_new_requests",
+        "tests/fleet/test_responses.py::test_a_leaving_target_gets_no_new_requests",
         (
             Edit(
                 "src/crocusspindle/platform/http.py",
