--- a/src/crocusspindle/core/eligibility.py
+++ b/src/crocusspindle/core/eligibility.py
@@ -154,11 +154,11 @@
         """
         self.record_read(requested_at_ms - max(age_ms, 0.0))
 
-    def stamp_age_ms(self, now_ms: float) -> float | None:
+    def timestamp_age_ms(self, now_ms: float) -> float | None:
         """Return the age of the freshness timestamp for peers, None without one."""
         return None if self._timestamp_ms == NEVER else now_ms - self._timestamp_ms
 
-    def platform_failing(self, at_ms: float) -> None:
+    def record_platform_failure(self, at_ms: float) -> None:
         """Record a read of the platform that began at a time and failed.
 
         A peer's report counts from when this node sent its request, like a relayed
@@ -260,7 +260,7 @@
             self._current_deadlines(now_ms).unreachable_ms,
         )
 
-    def away(self, now_ms: float) -> bool:
+    def has_lost_platform(self, now_ms: float) -> bool:
         """Return True if this node lost the platform under this view.
 
         To be sent in every echo. It ends only with the next view: if it ended earlier,
@@ -278,14 +278,14 @@
             self._outage_views.add(self._view.number)
         return self._is_unreachable
 
-    def away_views(self, now_ms: float) -> frozenset[ViewNumber]:
+    def outage_views(self, now_ms: float) -> frozenset[ViewNumber]:
         """Return the views under which this node or a peer lost the platform.
 
         To be sent in every echo, and passed to ``Membership.propose`` and, before each
         decision by table, to the ledger: the row of an operation that peers permitted
         may still be missing.
         """
-        self.away(now_ms)
+        self.has_lost_platform(now_ms)
         return frozenset(self._outage_views)
 
     def confirmed(self, now_ms: float) -> bool:
@@ -394,7 +394,7 @@
         view = self._view
         if view is None or self.member not in self._member_ids:
             return _Deadlines()
-        away = self.away(now_ms)
+        away = self.has_lost_platform(now_ms)
         counted_contacts = [
             contact
             for contact in self._contacts.values()
--- a/src/crocusspindle/core/members.py
+++ b/src/crocusspindle/core/members.py
@@ -279,7 +279,7 @@
         """Record a member's announcement that it takes no new work and stops."""
         self._leaving.add(member)
 
-    def silent(self, now_ms: float) -> tuple[MemberId, ...]:
+    def list_silent_members(self, now_ms: float) -> tuple[MemberId, ...]:
         """Return the members that are silent here, to be reported to other nodes."""
         limit_ms = now_ms - self._limits.silence_ms
         return tuple(
@@ -353,7 +353,7 @@
         multiple_domains = len(set(domains.values())) > 1
         witness_since_ms = now_ms - self._limits.witness_ms
         silent_members: set[MemberId] = set()
-        for name in self.silent(now_ms):
+        for name in self.list_silent_members(now_ms):
             witnesses = {
                 witness
                 for witness, at_ms in self._evidence[name].witnesses.items()
--- a/src/crocusspindle/services/assembly.py
+++ b/src/crocusspindle/services/assembly.py
@@ -47,7 +47,7 @@
     caller_socket = _listen(settings.caller.host, settings.caller.port)
     peer_socket = _listen(settings.peer.host, settings.peer.port)
     operator_socket = _listen(settings.operator.host, settings.operator.port)
-    me = _member(settings, caller_socket, peer_socket)
+    own_member = _member(settings, caller_socket, peer_socket)
     credential = fleet_credential(fleet_key(settings.fleet), settings.fleet.name)
     metrics = Metrics(settings.node.name, settings.node.domain)
     tls = NodeTls.from_config(settings)
@@ -55,8 +55,8 @@
     timings, limits = settings.timings, settings.limits
 
     kernel = Kernel(timings.drain_ms)
-    control = ControlService(me, timings)
-    peers = Peers(me.member, credential, timings, control, tls.peer_client)
+    control = ControlService(own_member, timings)
+    peers = Peers(own_member.member, credential, timings, control, tls.peer_client)
     rates = RatesService(control, peers, timings, metrics)
     coordinator = CoordinatorService(control, peers, limits, metrics)
     follower = FollowerService(control, peers, platform, timings, limits)
--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -137,11 +137,11 @@
         control, now = self._control, now_ms()
         view = control.view
         return {
-            "node": control.me.member,
-            "domain": control.me.domain,
+            "node": control.own_member.member,
+            "domain": control.own_member.domain,
             "fit": control.is_eligible(),
-            "reason": control.fitness.reason(now).value,
-            "stamp_age_ms": control.fitness.stamp_age_ms(now),
+            "reason": control.node_eligibility.reason(now).value,
+            "stamp_age_ms": control.node_eligibility.timestamp_age_ms(now),
             "draining": control.draining,
             "applied_ticket": control.log.applied,
             "head_seen": control.log.head_seen,
@@ -182,7 +182,7 @@
         operator a retry.
         """
         wait_until_ms = now_ms() + self._timings.heartbeat_ms * MAX_HEARTBEATS_WAITED
-        while now_ms() >= self._control.fitness.changes_until_ms(now_ms()):
+        while now_ms() >= self._control.node_eligibility.changes_until_ms(now_ms()):
             if now_ms() >= wait_until_ms:
                 raise NotFitError(ISOLATED_MESSAGE, RETRY_MS)
             await asyncio.sleep(self._timings.heartbeat_ms / 4e3)
@@ -248,7 +248,7 @@
         )
 
     def _confirmations(self) -> dict[MemberId, TicketNumber]:
-        applied_by = {self._control.me.member: self._control.log.applied}
+        applied_by = {self._control.own_member.member: self._control.log.applied}
         for member in self._peers.members():
             standing = self._peers.standing(member.member)
             if standing is not None:
@@ -289,7 +289,7 @@
         members = []
         for member in () if view is None else view.members:
             standing = self._peers.standing(member.member)
-            is_own = member.member == self._control.me.member
+            is_own = member.member == self._control.own_member.member
             members.append(
                 {
                     "member": member.member,
--- a/src/crocusspindle/services/control.py
+++ b/src/crocusspindle/services/control.py
@@ -55,7 +55,7 @@
 
     ticket: Ticket
     withdrawn: tuple[KeyDigest, ...]
-    former_limits: Mapping[CustomerId, Customer]
+    previous_customers: Mapping[CustomerId, Customer]
     """The customers of the ticket as the directory held them before it."""
 
 
@@ -64,8 +64,8 @@
 
     name = "control"
 
-    def __init__(self, me: ViewMember, timings: TimingSettings) -> None:
-        self.me = me
+    def __init__(self, own_member: ViewMember, timings: TimingSettings) -> None:
+        self.own_member = own_member
         self.directory = Directory()
         self.log = TicketLog()
         limits = EligibilityLimits(
@@ -75,9 +75,9 @@
             ),
             failing_ms=timings.freshness_ms,
         )
-        self.fitness = Eligibility(me.member, limits)
+        self.node_eligibility = Eligibility(own_member.member, limits)
         self.membership = Membership(
-            me,
+            own_member,
             MembershipLimits(
                 silence_ms=timings.silence_ms,
                 witness_ms=timings.heartbeat_ms * CONTACT_HEARTBEATS,
@@ -130,7 +130,7 @@
 
     def eligible_until_ms(self) -> float:
         """Return the deadline until which this node may take new work."""
-        return self.fitness.eligible_until_ms(now_ms())
+        return self.node_eligibility.eligible_until_ms(now_ms())
 
     def is_eligible(self) -> bool:
         """Return True if this node may begin new work now."""
@@ -150,7 +150,7 @@
         now = now_ms()
         if self.membership.adopt(view, now) is None:
             return
-        self.fitness.adopt(view, now)
+        self.node_eligibility.adopt(view, now)
         log_state_change(
             self._logger, "view adopted", view=view.number, members=len(view.members)
         )
@@ -189,13 +189,13 @@
 
     def record_platform_read(self, read_began_ms: float) -> None:
         """Record a complete read of the platform whose content is applied."""
-        self.fitness.record_read(read_began_ms)
+        self.node_eligibility.record_read(read_began_ms)
         self._is_platform_failing = False
         self.log_eligibility_change()
 
     def record_platform_failure(self, at_ms: float) -> None:
         """Record that a read of the platform failed."""
-        self.fitness.platform_failing(at_ms)
+        self.node_eligibility.record_platform_failure(at_ms)
         self._is_platform_failing = True
         self.log_eligibility_change()
 
@@ -205,45 +205,45 @@
         if is_eligible == self._was_eligible:
             return
         self._was_eligible = is_eligible
-        reason = self.fitness.reason(now_ms()).value
+        reason = self.node_eligibility.reason(now_ms()).value
         log_state_change(self._logger, "fit" if is_eligible else "unfit", reason=reason)
 
     def standing(self) -> wire.Standing:
         """Return the state that this node reports in a heartbeat."""
         now = now_ms()
-        age_ms = self.fitness.stamp_age_ms(now)
+        age_ms = self.node_eligibility.timestamp_age_ms(now)
         view = self.view
-        is_eligible = now < self.fitness.eligible_until_ms(now)
+        is_eligible = now < self.node_eligibility.eligible_until_ms(now)
         return wire.Standing(
             view_number=0 if view is None else view.number,
             applied_ticket=self.log.applied,
             draining=self.draining,
             fit=is_eligible,
-            unfit_reason="" if is_eligible else self.fitness.reason(now).value,
+            unfit_reason="" if is_eligible else self.node_eligibility.reason(now).value,
             has_stamp=age_ms is not None,
             stamp_age_ms=age_ms or 0.0,
-            silent=self.membership.silent(now),
+            silent=self.membership.list_silent_members(now),
             platform_failing=self._is_platform_failing,
-            away=self.fitness.away(now),
-            away_views=sorted(self.fitness.away_views(now)),
+            away=self.node_eligibility.has_lost_platform(now),
+            away_views=sorted(self.node_eligibility.outage_views(now)),
             targets_digest=self.targets_digest,
             targets_age_ms=min(now - self.targets_read_ms, MAX_TARGETS_AGE_MS),
         )
 
     def joining(self) -> wire.Joining | None:
         """Return this node's request to join the view, or None if it makes none."""
-        me, view = self.me, self.view
-        if self.draining or view is None or view.find(me.member) is not None:
+        own_member, view = self.own_member, self.view
+        if self.draining or view is None or view.find(own_member.member) is not None:
             return None
         return wire.Joining(
-            domain=me.domain,
-            region=me.region,
-            caller_address=me.caller_address,
-            peer_address=me.peer_address,
-            joined_unix_ms=me.joined_unix_ms,
+            domain=own_member.domain,
+            region=own_member.region,
+            caller_address=own_member.caller_address,
+            peer_address=own_member.peer_address,
+            joined_unix_ms=own_member.joined_unix_ms,
         )
 
-    def take_joining(self, member: MemberId, joining: wire.Joining) -> None:
+    def receive_join_request(self, member: MemberId, joining: wire.Joining) -> None:
         """Record a new node's request; one view admits all nodes that start at once."""
         self.membership.record_join_request(
             ViewMember(
@@ -261,8 +261,8 @@
     ) -> None:
         """Record a peer's echo of this node's heartbeat of ``sent_ms``."""
         self.record_message(member, standing)
-        self.fitness.applied = self.log.applied
-        self.fitness.record_echo(
+        self.node_eligibility.applied = self.log.applied
+        self.node_eligibility.record_echo(
             member,
             ViewNumber(standing.view_number),
             sent_ms,
@@ -271,13 +271,13 @@
             away_views=[ViewNumber(view) for view in standing.away_views],
         )
         if standing.platform_failing:
-            self.fitness.platform_failing(sent_ms)
+            self.node_eligibility.record_platform_failure(sent_ms)
         if self._has_newer_targets(standing, sent_ms):
             self._on_newer_targets(member)
         if self._is_behind(standing):
             self._on_newer_peer(member)
         elif standing.has_stamp:
-            self.fitness.record_relayed_read(sent_ms, standing.stamp_age_ms)
+            self.node_eligibility.record_relayed_read(sent_ms, standing.stamp_age_ms)
         self.log_eligibility_change()
 
     def record_message(self, member: MemberId, standing: wire.Standing) -> None:
@@ -341,7 +341,7 @@
                 key.digest for key in ticket.set.keys if key.state is KeyState.WITHDRAWN
             )
             + ticket.remove.keys,
-            former_limits={old.customer: old for old in previous if old},
+            previous_customers={old.customer: old for old in previous if old},
         )
         self.directory.apply(changes_of(ticket))
         self._tail[ticket.number] = encode_ticket(ticket)
--- a/src/crocusspindle/services/coordinator.py
+++ b/src/crocusspindle/services/coordinator.py
@@ -201,7 +201,7 @@
         service = self._control.directory.service(group[0]) or ServiceLimits(group[0])
         health = GroupHealth.from_config(HealthSettings(), service.floor_fraction)
         settings = CoordinatorSettings(
-            domain=self._control.me.domain,
+            domain=self._control.own_member.domain,
             retry_fraction=self._limits.retry_fraction,
             hedge_fraction=self._limits.hedge_fraction,
         )
@@ -254,7 +254,7 @@
         raise PeerError("no node of another failure domain answered")
 
     def _opinion_candidates(self) -> list[MemberId]:
-        own = self._control.me.domain
+        own = self._control.own_member.domain
         candidates = [
             member.member
             for member in self._peers.members()
--- a/src/crocusspindle/services/entry.py
+++ b/src/crocusspindle/services/entry.py
@@ -38,7 +38,7 @@
 )
 from crocusspindle.services.handed_over_request import RequestFailure
 from crocusspindle.services.operations import (
-    Begun,
+    OperationGrant,
     OperationsService,
     fingerprint_of,
 )
@@ -187,11 +187,11 @@
             for member_id in dict.fromkeys(ranked_ids)
             if (member := view.find(member_id)) is not None
         ]
-        own = view.find(self._control.me.member)
+        own = view.find(self._control.own_member.member)
         return caller_addresses(members, self._serves, own)
 
     def _serves(self, member: MemberId) -> bool:
-        if member == self._control.me.member:
+        if member == self._control.own_member.member:
             return self._control.is_eligible() and not self._control.draining
         return self._peers.usable(member)
 
@@ -206,7 +206,8 @@
             [
                 member.caller_address
                 for name in others
-                if (member := view.find(name)) and name != self._control.me.member
+                if (member := view.find(name))
+                and name != self._control.own_member.member
             ]
             if view is not None
             else []
@@ -290,7 +291,7 @@
             if result.outcome is Outcome.NOT_RUN:
                 self._rates.refund(call.customer, spent)
                 if begun is not None:
-                    self._operations.released(begun)
+                    self._operations.report_released(begun)
             raise RefusedError(error_responses.failure_response(result))
         finally:
             await state.close()
@@ -300,18 +301,18 @@
         request: web.BaseRequest,
         call: CallerRequest,
         result: CoordinatorResponse,
-        begun: Begun | None,
+        begun: OperationGrant | None,
     ) -> web.StreamResponse:
         if begun is None:
             return await relay_response(request, call.request, result, None)
         recorder = ResponseRecorder(self._settings.limits.answer_kept_bytes)
         response = await relay_response(request, call.request, result, recorder)
-        self._operations.finished(begun, recorder.stored_response(result))
+        self._operations.report_finished(begun, recorder.stored_response(result))
         return response
 
     async def _begin_operation(
         self, request: web.BaseRequest, call: CallerRequest
-    ) -> Begun | StoredResponse | RequestFailure | None:
+    ) -> OperationGrant | StoredResponse | RequestFailure | None:
         key = request.headers.get(OPERATION_KEY)
         if call.idempotent or key is None:
             return None
--- a/src/crocusspindle/services/follower.py
+++ b/src/crocusspindle/services/follower.py
@@ -124,7 +124,7 @@
     async def leave(self) -> None:
         """Propose a view without this node."""
         self._stopping = True
-        self._control.membership.record_leave(self._control.me.member)
+        self._control.membership.record_leave(self._control.own_member.member)
         with suppress(PlatformError):
             await self._propose()
 
@@ -143,17 +143,17 @@
 
     def _is_poller(self) -> bool:
         """Return True if this node polls the platform for its domain."""
-        view, me = self._control.view, self._control.me
-        if view is None or view.find(me.member) is None:
+        view, own_member = self._control.view, self._control.own_member
+        if view is None or view.find(own_member.member) is None:
             return True
         own_domain = [
-            other.member for other in view.members if other.domain == me.domain
+            other.member for other in view.members if other.domain == own_member.domain
         ]
         pollers = order(b"poller", own_domain)[: self._limits.pollers_per_domain]
-        return me.member in pollers
+        return own_member.member in pollers
 
     def _is_timestamp_old(self) -> bool:
-        age_ms = self._control.fitness.stamp_age_ms(now_ms())
+        age_ms = self._control.node_eligibility.timestamp_age_ms(now_ms())
         limit_ms = self._timings.freshness_ms * OWN_READ_AGE_FRACTION
         return age_ms is None or age_ms > limit_ms
 
@@ -211,11 +211,11 @@
     async def _propose(self) -> None:
         """Write the next view by a conditional put, if one is needed."""
         control, now = self._control, now_ms()
-        fitness = control.fitness
+        node_eligibility = control.node_eligibility
         proposer_state = ProposerState(
-            eligible=now < fitness.fresh_until_ms(),
-            in_majority=now < fitness.contact_until_ms(now),
-            confirmed=fitness.confirmed(now),
+            eligible=now < node_eligibility.fresh_until_ms(),
+            in_majority=now < node_eligibility.contact_until_ms(now),
+            confirmed=node_eligibility.confirmed(now),
         )
         proposed = control.membership.propose(
             proposer_state, now, unix_ms(), self._outages(now)
@@ -231,7 +231,7 @@
         """Return the views under which members lost the platform."""
         return [
             Outage(number, unix_ms(), self._members_by_view[number])
-            for number in self._control.fitness.away_views(now)
+            for number in self._control.node_eligibility.outage_views(now)
             if number in self._members_by_view
         ]
 
@@ -284,4 +284,4 @@
         control.apply_tickets(decode_ticket(content) for content in reply.tickets)
         caught_up = control.log.applied >= reply.applied_ticket
         if caught_up and reply.has_stamp:
-            control.fitness.record_relayed_read(sent_ms, reply.stamp_age_ms)
+            control.node_eligibility.record_relayed_read(sent_ms, reply.stamp_age_ms)
--- a/src/crocusspindle/services/gauges.py
+++ b/src/crocusspindle/services/gauges.py
@@ -30,7 +30,7 @@
         return sum(peers.connected(member.member) for member in peers.members())
 
     def stamp_age() -> Measurements:
-        age_ms = control.fitness.stamp_age_ms(now_ms())
+        age_ms = control.node_eligibility.timestamp_age_ms(now_ms())
         return [] if age_ms is None else [(age_ms, {})]
 
     single_gauges: Mapping[Instrument, Callable[[], float]] = {
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -213,19 +213,19 @@
 
     def _coordinators(self, group: Group) -> list[MemberId]:
         """Return the nodes that may coordinate the group, best first."""
-        view, me = self._control.view, self._control.me.member
+        view, own_member = self._control.view, self._control.own_member.member
         if view is None:
-            return [me]
+            return [own_member]
         ranked = [
             member
             for member in self._ranked(view, group)
-            if (member == me and not self._control.draining)
+            if (member == own_member and not self._control.draining)
             or self._peers.usable(member)
         ]
         now = now_ms()
         avoided = self._avoided_until_ms
         ranked.sort(key=lambda member: avoided.get(member, 0.0) > now)
-        return ranked or [me]
+        return ranked or [own_member]
 
     def _ranked(self, view: MemberView, group: Group) -> list[MemberId]:
         """Return the members in the group's rendezvous order, cached for each view."""
@@ -239,7 +239,7 @@
         return ranked
 
     async def _open(self, state: HandOverState, coordinator: MemberId) -> EntryLink:
-        if coordinator == self._control.me.member:
+        if coordinator == self._control.own_member.member:
             local = LocalLink()
             serve_task = asyncio.create_task(self._serve_local(local))
             state.stack.push_async_callback(_cancel, serve_task)
--- a/src/crocusspindle/services/ledger.py
+++ b/src/crocusspindle/services/ledger.py
@@ -93,7 +93,7 @@
         self._platform = platform
         self._timings = timings
         self._ledger = OperationLedger(
-            control.me.member,
+            control.own_member.member,
             LedgerLimits(
                 retention_ms=timings.operation_retention_ms,
                 max_body_bytes=limits.answer_kept_bytes,
@@ -155,11 +155,13 @@
         """Record an attempt for the other holder."""
         replaces = request.replaces
         peer_request = RecordAtPeer(
-            peer=self._control.me.member,
+            peer=self._control.own_member.member,
             view=ViewNumber(request.view_number),
             record=decode_record(request.record),
             mode=LedgerMode(request.mode),
-            replaces=attempt_from(replaces) if request.HasField("replaces") else None,
+            replaces=attempt_from_message(replaces)
+            if request.HasField("replaces")
+            else None,
         )
         reply = self._ledger.record_for_peer(peer_request, now_ms())
         return wire.RecordBegunReply(
@@ -188,14 +190,14 @@
 
     def _decision_authority(self) -> DecisionAuthority:
         """Return whether table or peers may decide operations now, and until when."""
-        fitness, now = self._control.fitness, now_ms()
+        node_eligibility, now = self._control.node_eligibility, now_ms()
         # Before each decision: the echo that granted authority by table may also have
         # reported an outage whose records are not in the table yet.
-        self._ledger.note_outages(fitness.away_views(now))
-        table_until_ms = fitness.table_until_ms(now)
+        self._ledger.note_outages(node_eligibility.outage_views(now))
+        table_until_ms = node_eligibility.table_until_ms(now)
         if now < table_until_ms:
             return DecisionAuthority(LedgerMode.TABLE, table_until_ms)
-        return DecisionAuthority(LedgerMode.PEER, fitness.peer_until_ms(now))
+        return DecisionAuthority(LedgerMode.PEER, node_eligibility.peer_until_ms(now))
 
     def _update_view(self, view: MemberView) -> None:
         self._ledger.adopt(view, now_ms())
@@ -267,8 +269,10 @@
             rounds += 1
             if rounds % EXPIRE_EVERY_ROUNDS == 0:
                 await self._expire()
-            self._ledger.note_outages(self._control.fitness.away_views(now_ms()))
-            if now_ms() < self._control.fitness.fresh_until_ms():
+            self._ledger.note_outages(
+                self._control.node_eligibility.outage_views(now_ms())
+            )
+            if now_ms() < self._control.node_eligibility.fresh_until_ms():
                 with suppress(PlatformError):
                     await self._flush()
                     if rounds % LOAD_EVERY_ROUNDS == 0:
@@ -311,9 +315,9 @@
             self._ledger.mark_table_loaded(view.number)
 
     def _may_load(self, view: MemberView) -> bool:
-        fitness, now = self._control.fitness, now_ms()
-        is_settled = fitness.is_settled(view.number, now)
-        return is_settled and now < fitness.table_until_ms(now)
+        node_eligibility, now = self._control.node_eligibility, now_ms()
+        is_settled = node_eligibility.is_settled(view.number, now)
+        return is_settled and now < node_eligibility.table_until_ms(now)
 
     async def _flush(self) -> None:
         """Write records that only memory holds, then a flush marker for other nodes."""
@@ -341,7 +345,7 @@
     async def _write_flush_marker(self, number: ViewNumber) -> None:
         if number in self._marked_views:
             return
-        key = f"{number:012d}/{self._control.me.member}"
+        key = f"{number:012d}/{self._control.own_member.member}"
         deadline_ms = now_ms() + self._timings.platform_timeout_ms
         await self._platform.put(FLUSHED_TABLE, key, b"", ABSENT, deadline_ms)
         self._marked_views.add(number)
@@ -366,12 +370,12 @@
     return wire.Attempt(owner=attempt.owner, number=attempt.number)
 
 
-def attempt_from(message: wire.Attempt) -> Attempt:
+def attempt_from_message(message: wire.Attempt) -> Attempt:
     """Decode an attempt sent by a peer."""
     return Attempt(MemberId(message.owner), AttemptId(message.number))
 
 
-def answer_message(response: StoredResponse) -> wire.KeptAnswer:
+def response_message(response: StoredResponse) -> wire.KeptAnswer:
     """Encode a stored response for a peer."""
     kept = wire.KeptAnswer(
         status=response.status,
@@ -385,7 +389,7 @@
     return kept
 
 
-def answer_from(message: wire.KeptAnswer) -> StoredResponse:
+def response_from_message(message: wire.KeptAnswer) -> StoredResponse:
     """Decode a stored response sent by a peer."""
     return StoredResponse(
         status=message.status,
--- a/src/crocusspindle/services/operations.py
+++ b/src/crocusspindle/services/operations.py
@@ -27,9 +27,9 @@
 from crocusspindle.services.handed_over_request import RequestFailure
 from crocusspindle.services.ledger import (
     LedgerService,
-    answer_from,
-    answer_message,
     attempt_message,
+    response_from_message,
+    response_message,
 )
 from crocusspindle.services.peers import PEER_FAILURES, Peers
 from crocusspindle.wire import fleet_pb2 as wire
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class Begun:
+class OperationGrant:
     """Permit sending an operation once, until a deadline."""
 
     name: OperationName
@@ -78,7 +78,7 @@
 
     async def begin(
         self, name: OperationName, fingerprint: bytes
-    ) -> Begun | StoredResponse | RequestFailure:
+    ) -> OperationGrant | StoredResponse | RequestFailure:
         """Return a grant, the response of the earlier run, or the refusal.
 
         Holders that cannot decide get one retry. A holder in a planned stop is silent
@@ -93,7 +93,7 @@
 
     async def _begin_once(
         self, name: OperationName, fingerprint: bytes
-    ) -> Begun | StoredResponse | RequestFailure:
+    ) -> OperationGrant | StoredResponse | RequestFailure:
         """Request a decision from the first reachable holder.
 
         Each attempt goes to one holder only. An attempt whose reply is lost is
@@ -103,7 +103,9 @@
         for holder in self._ledger.holders(name):
             if not self._reachable(holder):
                 continue
-            attempt = Attempt(self._control.me.member, AttemptId(next(self._numbers)))
+            attempt = Attempt(
+                self._control.own_member.member, AttemptId(next(self._numbers))
+            )
             sent_ms = now_ms()
             try:
                 async with asyncio.timeout(BEGIN_TIMEOUT_S):
@@ -111,21 +113,23 @@
                         holder, name, attempt, fingerprint
                     )
             except PEER_FAILURES:
-                self._start_report(Begun(name, attempt, holder, 0.0), None)
+                self._start_report(OperationGrant(name, attempt, holder, 0.0), None)
                 return unreached
             return _decode_reply(reply, name, attempt, holder, sent_ms)
         return unreached
 
-    def finished(self, grant: Begun, response: StoredResponse) -> None:
+    def report_finished(self, grant: OperationGrant, response: StoredResponse) -> None:
         """Report the response of the granted run."""
         self._start_report(grant, response)
 
-    def released(self, grant: Begun) -> None:
+    def report_released(self, grant: OperationGrant) -> None:
         """Report that the operation was not sent and will not be."""
         self._start_report(grant, None)
 
     def _reachable(self, holder: MemberId) -> bool:
-        return holder == self._control.me.member or self._peers.connected(holder)
+        return holder == self._control.own_member.member or self._peers.connected(
+            holder
+        )
 
     async def _request_decision(
         self,
@@ -134,7 +138,7 @@
         attempt: Attempt,
         fingerprint: bytes,
     ) -> wire.BeginReply:
-        if holder == self._control.me.member:
+        if holder == self._control.own_member.member:
             decision = await self._ledger.begin(name, attempt, fingerprint)
             return begin_reply(decision)
         request = wire.BeginRequest(
@@ -147,7 +151,9 @@
             request, metadata=self._peers.metadata
         )
 
-    def _start_report(self, grant: Begun, response: StoredResponse | None) -> None:
+    def _start_report(
+        self, grant: OperationGrant, response: StoredResponse | None
+    ) -> None:
         task = asyncio.create_task(self._report(grant, response))
         self._report_tasks.add(task)
         task.add_done_callback(self._report_tasks.discard)
@@ -156,10 +162,12 @@
         """Wait for pending reports before a planned stop."""
         await asyncio.gather(*self._report_tasks, return_exceptions=True)
 
-    async def _report(self, grant: Begun, response: StoredResponse | None) -> None:
+    async def _report(
+        self, grant: OperationGrant, response: StoredResponse | None
+    ) -> None:
         # After a lost report, a caller that sends the key again gets "unknown" instead
         # of the response; nothing runs twice.
-        if grant.holder == self._control.me.member:
+        if grant.holder == self._control.own_member.member:
             self._ledger.settle(grant.name, grant.attempt, response)
             return
         request = wire.SettleRequest(
@@ -168,7 +176,7 @@
             attempt=attempt_message(grant.attempt),
         )
         if response is not None:
-            request.answer.CopyFrom(answer_message(response))
+            request.answer.CopyFrom(response_message(response))
         for number in range(SETTLE_ATTEMPTS):
             with suppress(*PEER_FAILURES):
                 async with asyncio.timeout(SETTLE_TIMEOUT_S):
@@ -195,7 +203,7 @@
             within_ms = max(0.0, decision.dispatch_by_ms - now_ms())
             return wire.BeginReply(granted=wire.Granted(dispatch_within_ms=within_ms))
         case AlreadyRan(response):
-            return wire.BeginReply(already_ran=answer_message(response))
+            return wire.BeginReply(already_ran=response_message(response))
         case NotRun():
             # "Not run" is correct only if the decision covers earlier attempts, too.
             known = Outcome.NOT_RUN if decision.covers_earlier else Outcome.UNKNOWN
@@ -232,14 +240,14 @@
     attempt: Attempt,
     holder: MemberId,
     sent_ms: float,
-) -> Begun | StoredResponse | RequestFailure:
+) -> OperationGrant | StoredResponse | RequestFailure:
     kind = reply.WhichOneof("decision")
     if kind == "granted":
         # Counted from when the request was sent: delay can only shorten the grant.
         dispatch_by_ms = sent_ms + reply.granted.dispatch_within_ms
-        return Begun(name, attempt, holder, dispatch_by_ms)
+        return OperationGrant(name, attempt, holder, dispatch_by_ms)
     if kind == "already_ran":
-        return answer_from(reply.already_ran)
+        return response_from_message(reply.already_ran)
     withheld = reply.withheld
     return RequestFailure(
         Outcome(withheld.outcome),
--- a/src/crocusspindle/services/peers.py
+++ b/src/crocusspindle/services/peers.py
@@ -101,13 +101,13 @@
 
     def __init__(
         self,
-        me: MemberId,
+        own_member: MemberId,
         credential: str,
         timings: TimingSettings,
         control: Control,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        self.me = me
+        self.own_member = own_member
         self._metadata: Final = {FLEET_KEY_HEADER: credential}
         self._timings = timings
         self._control = control
@@ -122,7 +122,7 @@
     def follow(self, members: Iterable[ViewMember]) -> None:
         """Connect to exactly these members, except this node itself."""
         by_member = {member.member: member for member in members}
-        by_member.pop(self.me, None)
+        by_member.pop(self.own_member, None)
         for left in self._peers.keys() - by_member.keys():
             self._disconnect(self._peers.pop(left))
         for name in by_member.keys() - self._peers.keys():
@@ -219,7 +219,7 @@
                 sequence += 1
                 sent_ms = now_ms()
                 heartbeat = wire.Beat(
-                    member=self.me,
+                    member=self.own_member,
                     sequence=sequence,
                     standing=self._control.standing(),
                     joining=self._control.joining(),
--- a/src/crocusspindle/services/ports.py
+++ b/src/crocusspindle/services/ports.py
@@ -25,7 +25,11 @@
 from crocusspindle.services.coordinator import CoordinatorService
 from crocusspindle.services.entry import EntryService
 from crocusspindle.services.follower import target_message
-from crocusspindle.services.ledger import LedgerService, answer_from, attempt_from
+from crocusspindle.services.ledger import (
+    LedgerService,
+    attempt_from_message,
+    response_from_message,
+)
 from crocusspindle.services.links import RemoteCoordinatorLink
 from crocusspindle.services.operations import begin_reply
 from crocusspindle.services.peers import (
@@ -64,9 +68,9 @@
         async for beat in stream:
             self._control.record_message(MemberId(beat.member), beat.standing)
             if beat.HasField("joining"):
-                self._control.take_joining(MemberId(beat.member), beat.joining)
+                self._control.receive_join_request(MemberId(beat.member), beat.joining)
             echo = wire.Echo(
-                member=self._control.me.member,
+                member=self._control.own_member.member,
                 sequence=beat.sequence,
                 standing=self._control.standing(),
             )
@@ -101,7 +105,7 @@
         """Send applied tickets, the view and the age of the freshness timestamp."""
         message = await _receive_message(stream)
         after, limit = TicketNumber(message.after), min(message.limit, MAX_TAIL_TICKETS)
-        age_ms = self._control.fitness.stamp_age_ms(now_ms())
+        age_ms = self._control.node_eligibility.timestamp_age_ms(now_ms())
         reply = wire.TailReply(
             tickets=self._control.tail(after, limit) or [],
             view=self._control.view_bytes(),
@@ -151,7 +155,9 @@
         """Decide on an operation whose record this node holds."""
         message = await _receive_message(stream)
         decision = await self._ledger.begin(
-            operation_name(message), attempt_from(message.attempt), message.fingerprint
+            operation_name(message),
+            attempt_from_message(message.attempt),
+            message.fingerprint,
         )
         await stream.send_message(begin_reply(decision))
 
@@ -166,9 +172,13 @@
     ) -> None:
         """Record the end of an operation as its entry reports it."""
         message = await _receive_message(stream)
-        response = answer_from(message.answer) if message.HasField("answer") else None
+        response = (
+            response_from_message(message.answer)
+            if message.HasField("answer")
+            else None
+        )
         self._ledger.settle(
-            operation_name(message), attempt_from(message.attempt), response
+            operation_name(message), attempt_from_message(message.attempt), response
         )
         await stream.send_message(wire.SettleReply())
 
--- a/src/crocusspindle/services/rates.py
+++ b/src/crocusspindle/services/rates.py
@@ -58,7 +58,7 @@
         self._metrics = metrics
         self._ledger = ShareLedger.from_config(
             ShareSettings(lease_ms=timings.freshness_ms),
-            control.me.member,
+            control.own_member.member,
             self._limit_of,
         )
         self._holder_selector = HolderSelector(())
@@ -189,7 +189,7 @@
     def _apply_change(self, change: Change) -> None:
         now = now_ms()
         for customer in change.ticket.set.customers:
-            previous_limit = change.former_limits.get(customer.customer)
+            previous_limit = change.previous_customers.get(customer.customer)
             self._ledger.set_limit(
                 customer, now, previous_limit, is_new=previous_limit is None
             )
@@ -205,6 +205,6 @@
         # A new holder spends only once no majority can confirm its predecessor.
         while True:
             view = self._control.view
-            if view is not None and self._control.fitness.confirmed(now_ms()):
+            if view is not None and self._control.node_eligibility.confirmed(now_ms()):
                 self._ledger.activate(view.number, now_ms())
             await asyncio.sleep(ACTIVATION_INTERVAL_S)
--- a/src/crocusspindle/services/snapshots.py
+++ b/src/crocusspindle/services/snapshots.py
@@ -68,7 +68,7 @@
         view, applied = self._control.view, self._control.log.applied
         if view is None or applied < self._saved_number + TICKETS_PER_SNAPSHOT:
             return
-        if order(b"snapshot", view.names)[0] != self._control.me.member:
+        if order(b"snapshot", view.names)[0] != self._control.own_member.member:
             return
         directory = dump(self._control.directory)
         digest = xxhash.xxh3_64_intdigest(directory)
--- a/tests/core/ledger_simulation.py
+++ b/tests/core/ledger_simulation.py
@@ -60,7 +60,7 @@
 
     def authority(self, node: Node, prefer_peer: bool) -> DecisionAuthority:
         now_ms = self.fleet.now(node)
-        node.ledger.note_outages(node.fitness.away_views(now_ms))
+        node.ledger.note_outages(node.fitness.outage_views(now_ms))
         peer = DecisionAuthority(LedgerMode.PEER, node.fitness.peer_until_ms(now_ms))
         table = DecisionAuthority(LedgerMode.TABLE, node.fitness.table_until_ms(now_ms))
         choices = [peer, table] if prefer_peer else [table, peer]
--- a/tests/core/small_fleet.py
+++ b/tests/core/small_fleet.py
@@ -90,7 +90,7 @@
 
     def poll(self, node: Node) -> None:
         if node.own_member.member not in self.reaching_platform:
-            node.fitness.platform_failing(self.now(node))
+            node.fitness.record_platform_failure(self.now(node))
             return
         if self.row:
             self.adopt(node, decode_view(self.row))
@@ -113,13 +113,13 @@
             return
         sent_ms = self.now(node) - delay_ms
         node.membership.record_message(peer.own_member.member, self.now(node))
-        for silent in peer.membership.silent(self.now(peer)):
+        for silent in peer.membership.list_silent_members(self.now(peer)):
             node.membership.record_silence_report(
                 silent, peer.own_member.member, self.now(node)
             )
         if peer.view is not None:
             self.adopt(node, peer.view)
-        age_ms = peer.fitness.stamp_age_ms(self.now(peer))
+        age_ms = peer.fitness.timestamp_age_ms(self.now(peer))
         self.apply(node, peer.applied)
         if age_ms is not None:
             node.fitness.record_relayed_read(sent_ms, age_ms)
@@ -128,8 +128,8 @@
             peer.view.number if peer.view else ViewNumber(0),
             sent_ms,
             applied=peer.applied,
-            away=peer.fitness.away(self.now(peer)),
-            away_views=peer.fitness.away_views(self.now(peer)),
+            away=peer.fitness.has_lost_platform(self.now(peer)),
+            away_views=peer.fitness.outage_views(self.now(peer)),
         )
 
     def round(self, *, gossip: bool = True) -> None:
@@ -156,7 +156,7 @@
         )
 
     def outages(self, node: Node) -> list[Outage]:
-        away = node.fitness.away_views(self.now(node))
+        away = node.fitness.outage_views(self.now(node))
         return [
             Outage(number, int(self.time_ms), self.views[number].names)
             for number in away
--- a/tests/core/test_eligibility.py
+++ b/tests/core/test_eligibility.py
@@ -59,7 +59,7 @@
 
 def test_a_majority_keeps_a_node_eligible_in_a_platform_outage() -> None:
     eligibility = make_eligibility()
-    eligibility.platform_failing(10_000.0)
+    eligibility.record_platform_failure(10_000.0)
     record_echoes(eligibility, "b", 10_000.0)
     assert eligibility.reason(10_000.0) is EligibilityReason.NO_MAJORITY
     record_echoes(eligibility, "c", 9_500.0)
@@ -78,12 +78,12 @@
     """The other nodes have withdrawn a key or removed this node. They still answer
     heartbeats; a node that counted these replies would continue to serve."""
     eligibility = make_eligibility()
-    eligibility.platform_failing(10_000.0)
+    eligibility.record_platform_failure(10_000.0)
     record_echoes(eligibility, "bcd", 10_000.0)
     record_echoes(eligibility, "bc", 10_001.0, number=2)
     assert not eligibility.is_eligible(10_001.0)
     eligibility = make_eligibility()
-    eligibility.platform_failing(10_000.0)
+    eligibility.record_platform_failure(10_000.0)
     for name in "bcde":
         eligibility.record_echo(
             MemberId(name), ViewNumber(1), 10_000.0, applied=TicketNumber(7)
@@ -98,31 +98,31 @@
     positive but outdated."""
     eligibility = make_eligibility()
     eligibility.record_read(1_000.0)
-    eligibility.platform_failing(1_000.0)
+    eligibility.record_platform_failure(1_000.0)
     record_echoes(eligibility, "bcde", 1_000.0)
     assert eligibility.is_eligible(1_500.0)
     assert not eligibility.is_eligible(61_000.0)
-    assert not eligibility.away(61_000.0)
+    assert not eligibility.has_lost_platform(61_000.0)
 
 
 def test_a_lost_platform_counts_as_unreachable_until_the_next_view() -> None:
     eligibility = make_eligibility()
     eligibility.record_read(0.0)
-    eligibility.platform_failing(1_000.0)
-    assert not eligibility.away(3_000.0)
-    assert eligibility.away(4_500.0)
+    eligibility.record_platform_failure(1_000.0)
+    assert not eligibility.has_lost_platform(3_000.0)
+    assert eligibility.has_lost_platform(4_500.0)
     eligibility.record_read(6_000.0)
-    assert eligibility.away(6_000.0)
+    assert eligibility.has_lost_platform(6_000.0)
     later = replace(view(3, "abcde"), formers=(PreviousView(ViewNumber(2), ()),))
     eligibility.adopt(later, 6_000.0)
-    assert not eligibility.away(6_000.0)
+    assert not eligibility.has_lost_platform(6_000.0)
     eligibility.record_echo(
         MemberId("b"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(0)]
     )
     eligibility.record_echo(
         MemberId("c"), ViewNumber(3), 6_000.0, away_views=[ViewNumber(2)]
     )
-    assert eligibility.away_views(6_000.0) == {1, 2}
+    assert eligibility.outage_views(6_000.0) == {1, 2}
 
 
 class NoConfirmation(Eligibility):
@@ -272,9 +272,9 @@
 def test_small_fleets_need_more_than_half(size: int) -> None:
     names = "abc"[:size]
     eligibility = make_eligibility(names)
-    eligibility.platform_failing(1_000.0)
+    eligibility.record_platform_failure(1_000.0)
     record_echoes(eligibility, names[1 : size // 2 + 1], 1_000.0)
     assert eligibility.is_eligible(1_000.0)
     alone = make_eligibility(names)
-    alone.platform_failing(1_000.0)
+    alone.record_platform_failure(1_000.0)
     assert alone.is_eligible(1_000.0) is (size == 1)
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -83,11 +83,11 @@
     """A rack's switch fails. The nodes behind it receive nothing from the others and
     agree that these have failed; trusting them would remove most of the fleet."""
     membership = membership_of(6)
-    assert membership.silent(9_000.0) == ()
+    assert membership.list_silent_members(9_000.0) == ()
     for name in ("n0", "n2", "n3", "n4", "n5"):
         membership.record_message(MemberId(name), 9_000.0)
     now_ms = 11_000.0
-    assert membership.silent(now_ms) == ("n1",)
+    assert membership.list_silent_members(now_ms) == ("n1",)
     membership.record_silence_report(MemberId("n1"), MemberId("n3"), now_ms)
     assert membership.propose(ELIGIBLE, now_ms, 0) is NoProposalReason.NOTHING_TO_CHANGE
     membership.record_silence_report(MemberId("n1"), MemberId("n2"), now_ms)
--- a/tests/services/test_hand_over.py
+++ b/tests/services/test_hand_over.py
@@ -50,7 +50,7 @@
             ViewMember(f"n{n}", f"d{n}", "r", f"h:{n}", f"p:{n}", 0) for n in range(3)
         ]
         self.view = MemberView(ViewNumber(1), tuple(members))
-        self.me = ViewMember("entry", "d0", "r", "h:9", "p:9", 0)
+        self.own_member = ViewMember("entry", "d0", "r", "h:9", "p:9", 0)
         self.groups = {"desk": partition_targets("desk", ["t:1"])}
 
 
