--- a/src/crocusspindle/errors.py
+++ b/src/crocusspindle/errors.py
@@ -61,7 +61,7 @@
     """Report a peer that did not respond in time or sent an invalid response."""
 
 
-class NotFitError(CrocusspindleError):
+class NodeIneligibleError(CrocusspindleError):
     """Report a node that is not eligible for this work now, and when to retry."""
 
     def __init__(self, reason: str, retry_after_ms: float = 1_000.0) -> None:
--- a/src/crocusspindle/exit_codes.py
+++ b/src/crocusspindle/exit_codes.py
@@ -13,7 +13,7 @@
     NOT_ALLOWED = 4
     CONFLICT = 5
     NOT_FOUND = 6
-    COME_BACK = 7
+    RETRY_LATER = 7
     UNKNOWN = 8
     NOT_IN_FORCE = 9
 
@@ -26,7 +26,7 @@
     ExitCode.NOT_ALLOWED: "The key is unknown or lacks permission; nothing was done.",
     ExitCode.CONFLICT: "The ticket number has other content; nothing was done.",
     ExitCode.NOT_FOUND: "There is no such ticket.",
-    ExitCode.COME_BACK: "The node is unreachable or ineligible; nothing was done.",
+    ExitCode.RETRY_LATER: "The node is unreachable or ineligible; nothing was done.",
     ExitCode.UNKNOWN: "The response was lost; submit the same ticket again.",
     ExitCode.NOT_IN_FORCE: "The ticket is recorded, but was not in force in time.",
 }
--- a/src/crocusspindle/gateway/held_requests.py
+++ b/src/crocusspindle/gateway/held_requests.py
@@ -29,7 +29,7 @@
 @asynccontextmanager
 async def open_platform(settings: str | None) -> AsyncIterator[FleetPlatform]:
     """Open the platform of a settings file; raise ``SettingsError`` with findings."""
-    path = settings_file.path_of(settings)
+    path = settings_file.settings_path(settings)
     platform = platform_of(settings_file.read_settings(path))
     try:
         yield platform
--- a/src/crocusspindle/gateway/serve.py
+++ b/src/crocusspindle/gateway/serve.py
@@ -23,7 +23,7 @@
     began_ms
         Start of this process: a small host takes seconds to load its modules.
     """
-    file = settings_file.path_of(path)
+    file = settings_file.settings_path(path)
     policies = Policies.from_names(os.environ.get(WITHOUT_ENV, ""))
     lines = set_up_lines()
     words = dialect.dialect()
--- a/src/crocusspindle/log_lines.py
+++ b/src/crocusspindle/log_lines.py
@@ -43,7 +43,7 @@
     return value
 
 
-def fields_of(record: logbook.LogRecord) -> dict[str, Any]:
+def record_fields(record: logbook.LogRecord) -> dict[str, Any]:
     """Return the fields of a record's log line."""
     return {
         "time": record.time.isoformat(timespec="milliseconds") + "Z",
@@ -56,7 +56,7 @@
 
 def format_json(record: logbook.LogRecord, handler: logbook.Handler) -> str:
     """Return a record as one line of JSON."""
-    fields = fields_of(record)
+    fields = record_fields(record)
     if record.exc_info:
         fields["exception"] = record.formatted_exception
     return json.dumps(fields, default=str, separators=(",", ":"))
--- a/src/crocusspindle/logs.py
+++ b/src/crocusspindle/logs.py
@@ -5,7 +5,7 @@
 
 import logbook
 
-from crocusspindle.log_lines import fields_of, format_json, redact
+from crocusspindle.log_lines import format_json, record_fields, redact
 from crocusspindle.settings_schema import LogFormat, LogSettings
 
 
@@ -28,7 +28,7 @@
 
 
 def _format_text(record: logbook.LogRecord, handler: logbook.Handler) -> str:
-    fields = fields_of(record)
+    fields = record_fields(record)
     head = " ".join(
         str(fields.pop(name)) for name in ("time", "level", "logger", "message")
     )
--- a/src/crocusspindle/losses.py
+++ b/src/crocusspindle/losses.py
@@ -41,9 +41,9 @@
     Seconds count from the first request in the log lines.
     """
 
-    asked: Counter[str] = field(default_factory=Counter)
+    requests_by_route: Counter[str] = field(default_factory=Counter)
     lost: dict[Loss, Counter[int]] = field(default_factory=dict)
-    unread: int = 0
+    unread_lines: int = 0
 
     @property
     def losses(self) -> list[tuple[Loss, int]]:
@@ -54,8 +54,8 @@
     def table(self) -> dict[str, Any]:
         """Return the report as plain data, the most frequent loss first."""
         return {
-            "requests": self.asked.total(),
-            "lines_unread": self.unread,
+            "requests": self.requests_by_route.total(),
+            "lines_unread": self.unread_lines,
             "lost": [
                 {
                     "number": number,
@@ -86,7 +86,7 @@
             if entry["message"] in (ENDED, REFUSED):
                 timed_entries.append((_unix_s(entry), entry))
         except (ValueError, KeyError, TypeError):
-            report.unread += 1
+            report.unread_lines += 1
     if not timed_entries:
         message = "holds no line of a request that ended or was refused"
         raise InvalidInputError([Finding("logs", ".", message)])
@@ -105,7 +105,7 @@
     if outcome in CLIENT_ERRORS:
         return
     route = str(entry.get("route", "-"))
-    report.asked[route] += 1
+    report.requests_by_route[route] += 1
     reason = _reason(entry, outcome)
     if reason is None:
         return
--- a/src/crocusspindle/operator_client.py
+++ b/src/crocusspindle/operator_client.py
@@ -26,7 +26,7 @@
     404: ExitCode.NOT_FOUND,
     409: ExitCode.CONFLICT,
     413: ExitCode.FINDINGS,
-    503: ExitCode.COME_BACK,
+    503: ExitCode.RETRY_LATER,
     504: ExitCode.UNKNOWN,
 }
 
@@ -93,11 +93,11 @@
         ):
             return _result(response.status, response.headers, await response.text())
     except (aiohttp.ClientConnectorError, aiohttp.InvalidURL) as error:
-        raise CommandError(f"cannot connect: {error}", ExitCode.COME_BACK) from error
+        raise CommandError(f"cannot connect: {error}", ExitCode.RETRY_LATER) from error
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         # Only a submitted ticket may have taken effect despite the error.
         lost = method == "POST" and path == "/v1/tickets"
-        code = ExitCode.UNKNOWN if lost else ExitCode.COME_BACK
+        code = ExitCode.UNKNOWN if lost else ExitCode.RETRY_LATER
         advice = "; submit the same ticket again" if lost else ""
         message = f"no response: {error or type(error).__name__}{advice}"
         raise CommandError(message, code) from error
--- a/src/crocusspindle/platform/settings_file.py
+++ b/src/crocusspindle/platform/settings_file.py
@@ -15,7 +15,7 @@
 """The port ``metrics`` of the deploy file, the exporter's default."""
 
 
-def path_of(given: str | None) -> Path:
+def settings_path(given: str | None) -> Path:
     """Return the settings path; raise ``SettingsError`` if none is given."""
     path = given or os.environ.get(PATH_ENV)
     if not path:
--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -24,7 +24,7 @@
 )
 from crocusspindle.errors import (
     Finding,
-    NotFitError,
+    NodeIneligibleError,
     PlatformUnavailableError,
     PlatformUnknownError,
     TicketConflictError,
@@ -160,7 +160,7 @@
     def _check_state(self, ticket: Ticket) -> None:
         """Check a ticket against the state before it; raise ``TicketError``."""
         if not self._control.is_eligible():
-            raise NotFitError(ISOLATED_MESSAGE, RETRY_MS)
+            raise NodeIneligibleError(ISOLATED_MESSAGE, RETRY_MS)
         expected = self._control.log.applied + 1
         if ticket.number < expected:
             return
@@ -184,7 +184,7 @@
         wait_until_ms = now_ms() + self._timings.heartbeat_ms * MAX_HEARTBEATS_WAITED
         while now_ms() >= self._control.node_eligibility.changes_until_ms(now_ms()):
             if now_ms() >= wait_until_ms:
-                raise NotFitError(ISOLATED_MESSAGE, RETRY_MS)
+                raise NodeIneligibleError(ISOLATED_MESSAGE, RETRY_MS)
             await asyncio.sleep(self._timings.heartbeat_ms / 4e3)
 
     async def _run_step(self, submission: Submission) -> None:
--- a/src/crocusspindle/services/operator_api.py
+++ b/src/crocusspindle/services/operator_api.py
@@ -85,16 +85,16 @@
     """Execute the calls of the operator port.
 
     Calls raise ``TicketError`` for documents that cannot be accepted,
-    ``TicketConflictError`` for a number that holds other content, ``NotFitError``
-    on a node that may not decide now, and ``PlatformError``.
+    ``TicketConflictError`` for a number that holds other content,
+    ``NodeIneligibleError`` on a node that may not decide now, and ``PlatformError``.
     """
 
     async def validate(self, document: bytes) -> TicketSummary:
         """Return what a ticket would change in the state before its number.
 
         Permissions are checked on this result. So a node that does not know that state
-        raises ``NotFitError``: otherwise a ticket could restore an approval that its
-        owner has just withdrawn.
+        raises ``NodeIneligibleError``: otherwise a ticket could restore an approval that
+        its owner has just withdrawn.
         """
 
     async def submit(self, document: bytes, principal: Principal) -> SubmitResult:
--- a/src/crocusspindle/services/operator_port.py
+++ b/src/crocusspindle/services/operator_port.py
@@ -15,7 +15,7 @@
 from crocusspindle.errors import (
     CrocusspindleError,
     Finding,
-    NotFitError,
+    NodeIneligibleError,
     PlatformUnavailableError,
     PlatformUnknownError,
     TicketConflictError,
@@ -185,7 +185,7 @@
         status, findings, text = 400, list(error.findings), "wrong ticket"
     elif isinstance(error, TicketConflictError):
         status = 409
-    elif isinstance(error, NotFitError | PlatformUnavailableError):
+    elif isinstance(error, NodeIneligibleError | PlatformUnavailableError):
         status = 503
         wait_ms = getattr(error, "retry_after_ms", RETRY_AFTER_MS)
         headers["Retry-After"] = str(max(1, math.ceil(wait_ms / 1000)))
--- a/src/crocusspindle/yaml_document.py
+++ b/src/crocusspindle/yaml_document.py
@@ -54,10 +54,10 @@
 
     def finding(self, path: EntryPath, message: str) -> Finding:
         """Return a finding at the line of an entry."""
-        return Finding(self.source, dotted(path), message, self.lines.line(path))
+        return Finding(self.source, format_path(path), message, self.lines.line(path))
 
 
-def dotted(path: EntryPath) -> str:
+def format_path(path: EntryPath) -> str:
     """Return an entry's path in dotted form, such as ``a.b[0]``."""
     text = ""
     for part in path:
@@ -134,7 +134,7 @@
     for key, _ in node.value:
         name = str(key.value)
         if name in seen:
-            dotted_path = dotted((*path, name))
+            dotted_path = format_path((*path, name))
             duplicates.append(
                 Finding(source, dotted_path, "is a duplicate key", _line(key))
             )
--- a/tests/product/test_losses.py
+++ b/tests/product/test_losses.py
@@ -28,8 +28,8 @@
         '{"message": ',
     ]
     report = read(lines)
-    assert report.asked == {"pay": 6}
-    assert report.unread == 1
+    assert report.requests_by_route == {"pay": 6}
+    assert report.unread_lines == 1
     assert report.losses[0] == (Loss("pay", "unsafe", "504", "target-silent"), 2)
     assert dict(report.losses) == {
         Loss("pay", "unsafe", "504", "target-silent"): 2,
--- a/tests/product/test_operator_port.py
+++ b/tests/product/test_operator_port.py
@@ -8,7 +8,7 @@
 from crocusspindle import cli
 from crocusspindle.errors import (
     Finding,
-    NotFitError,
+    NodeIneligibleError,
     PlatformUnknownError,
     TicketConflictError,
     TicketError,
@@ -35,7 +35,7 @@
 FAILURES = {
     b"wrong": TicketError([Finding("ticket", "customers", "is missing", 2)]),
     b"taken": TicketConflictError("ticket 5 holds other content"),
-    b"unfit": NotFitError("no fresh stamp", 2_500),
+    b"unfit": NodeIneligibleError("no fresh stamp", 2_500),
     b"lost": PlatformUnknownError("answer lost"),
     b"bug": ValueError("secret detail"),
 }
@@ -201,5 +201,5 @@
     flags = ["--operator", url, "--operator_key_file", str(file)]
     submit = ["ticket", "submit", str(file), *flags]
     assert await asyncio.to_thread(cli.run, submit) == ExitCode.UNKNOWN
-    assert await asyncio.to_thread(cli.run, ["status", *flags]) == ExitCode.COME_BACK
+    assert await asyncio.to_thread(cli.run, ["status", *flags]) == ExitCode.RETRY_LATER
     server.close()
--- a/tests/product/test_tls_fleet.py
+++ b/tests/product/test_tls_fleet.py
@@ -73,7 +73,7 @@
         words = ["status", "--operator", url, "--output", "json"]
         words += ["--operator_key_file", str(operator_key)]
         if not trusted:
-            assert await asyncio.to_thread(cli.run, words) == ExitCode.COME_BACK
+            assert await asyncio.to_thread(cli.run, words) == ExitCode.RETRY_LATER
             assert "certificate" in capfd.readouterr().err
             return
         members = []
