--- a/src/crocusspindle/services/operator_api.py
+++ b/src/crocusspindle/services/operator_api.py
@@ -93,8 +93,8 @@
         """Return what a ticket would change in the state before its number.
 
         Permissions are checked on this result. So a node that does not know that state
-        raises ``NodeIneligibleError``: otherwise a ticket could restore an approval that
-        its owner has just withdrawn.
+        raises ``NodeIneligibleError``: otherwise a ticket could restore an approval
+        that its owner has just withdrawn.
         """
 
     async def submit(self, document: bytes, principal: Principal) -> SubmitResult:
