--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the fleet: decisions in virtual time, processes on loopback."""
+"""Benchmark the fleet: decisions in virtual time, processes on loopback."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Run benchmarks by name, or check their deterministic figures against bounds."""
+"""Run the capacity benchmark, or check deterministic figures against bounds."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 
 def check() -> None:
-    """Check every bounded figure; end with 1 and name those out of bounds."""
+    """Check all bounded figures; print those out of bounds and exit with status 1."""
     broken: list[str] = []
     for name, module in (
         ("health", health),
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
 """Measure how a node's control costs grow, for docs/CAPACITY.md.
 
-Two kinds of points: whole fleets of real processes without traffic, and the real
-cores of one node fed with up to the size to design for. Each point is printed and
-written as CSV; a plot stands beside them.
+There are two kinds of points: whole fleets of real processes without traffic, and the
+deciding code of one node with input up to the size to design for. Points are printed
+and written as CSV, and plotted.
 """
 
 import asyncio
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class FleetPoint:
-    """Hold what one idle fleet costs, per node unless it says otherwise."""
+    """Hold the cost of one idle fleet; processor, memory and bytes are per node."""
 
     nodes: int
     core_percent: float
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class MemberPoint:
-    """Hold what one view of so many members costs one node."""
+    """Hold the cost to one node of a view of this many members."""
 
     members: int
     view_bytes: int
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class TargetPoint:
-    """Hold what a host list of so many targets costs one node."""
+    """Hold the cost to one node of a host list of this many targets."""
 
     targets: int
     cut_ms: float
@@ -98,8 +98,8 @@
     return [node.running.process.pid for node in nodes if node.running is not None]
 
 
-async def _gossip_bytes(fleet: Fleet) -> float:
-    """Return the bytes that all nodes sent to peers, by their own metric."""
+async def _sent_heartbeat_bytes(fleet: Fleet) -> float:
+    """Return the bytes that all nodes sent to peers, from their metrics."""
     total = 0.0
     for node in fleet.nodes:
         url = f"http://127.0.0.1:{node.metrics_port}/metrics"
@@ -110,13 +110,13 @@
     return total
 
 
-async def _calls(fleet: Fleet) -> dict[str, int]:
+async def _platform_calls(fleet: Fleet) -> dict[str, int]:
     found = await get_json(fleet.session, f"{fleet.platform_url}/control")
     return dict(found["calls"])
 
 
 async def _ticket_ms(fleet: Fleet, number: int) -> float:
-    """Return how long a ticket takes from its submission to the last node."""
+    """Return the time from submitting a ticket until it is in force on all nodes."""
     began_s = time.perf_counter()
     customer = {"rate_per_s": 1.0, "burst": 2}
     ticket = await fleet.ticket(
@@ -127,7 +127,7 @@
 
 
 async def measure_fleet(nodes: int) -> FleetPoint:
-    """Return what an idle fleet of this many processes costs."""
+    """Return the cost of an idle fleet of this many processes."""
     layout = Layout(nodes, min(nodes, 4), (TargetGroup("desk", 2, 2, 5.0),))
     began_s = time.perf_counter()
     async with Fleet.temporary(layout) as fleet:
@@ -135,12 +135,15 @@
         await asyncio.sleep(5)
         pids = _pids(fleet.nodes)
         before = [_processor_s(pid) for pid in pids]
-        calls, sent = await _calls(fleet), await _gossip_bytes(fleet)
+        calls, sent = await _platform_calls(fleet), await _sent_heartbeat_bytes(fleet)
         since_s = time.perf_counter()
         await asyncio.sleep(IDLE_S)
         took_s = time.perf_counter() - since_s
         after = [_processor_s(pid) for pid in pids]
-        calls_after, sent_after = await _calls(fleet), await _gossip_bytes(fleet)
+        calls_after, sent_after = (
+            await _platform_calls(fleet),
+            await _sent_heartbeat_bytes(fleet),
+        )
         delays_ms = [await _ticket_ms(fleet, number) for number in range(TICKETS)]
         used_s = sum(after) - sum(before)
         return FleetPoint(
@@ -170,10 +173,10 @@
     )
 
 
-def _took_ms(work: Callable[[], object], repeats: int = 5) -> float:
-    """Return the least time of some runs: the others met the machine's noise."""
+def _min_duration_ms(work: Callable[[], object], runs: int = 5) -> float:
+    """Return the shortest time of several runs; noise of the machine only adds."""
     times = []
-    for _ in range(repeats):
+    for _ in range(runs):
         began_s = time.perf_counter()
         work()
         times.append(time.perf_counter() - began_s)
@@ -181,7 +184,7 @@
 
 
 def measure_members(count: int) -> MemberPoint:
-    """Return what a view of this many members costs one node."""
+    """Return the cost to one node of a view of this many members."""
     members = tuple(_member(number) for number in range(count))
     view = MemberView(ViewNumber(1), members)
     encoded = encode_view(view)
@@ -190,13 +193,13 @@
     def adopt() -> None:
         Membership(members[0]).adopt(decode_view(encoded), 0.0)
 
-    fitness = Eligibility(names[0])
-    fitness.adopt(view, 0.0)
-    fitness.record_read(0.0)
+    node_eligibility = Eligibility(names[0])
+    node_eligibility.adopt(view, 0.0)
+    node_eligibility.record_read(0.0)
 
     def echo_all() -> None:
         for name in names[1:]:
-            fitness.record_echo(name, view.number, 1.0)
+            node_eligibility.record_echo(name, view.number, 1.0)
 
     clock_ms = iter(range(1_000, 1_000_000, 1_000))
     keys = [f"service-{number}".encode() for number in range(KEYS)]
@@ -206,18 +209,21 @@
     return MemberPoint(
         members=count,
         view_bytes=len(encoded),
-        adopt_ms=round(_took_ms(adopt), 3),
-        echo_us=round(_took_ms(echo_all) * 1e3 / max(1, count - 1), 2),
+        adopt_ms=round(_min_duration_ms(adopt), 3),
+        echo_us=round(_min_duration_ms(echo_all) * 1e3 / max(1, count - 1), 2),
         fitness_ms=round(
-            _took_ms(lambda: fitness.contact_until_ms(float(next(clock_ms)))), 3
+            _min_duration_ms(
+                lambda: node_eligibility.contact_until_ms(float(next(clock_ms)))
+            ),
+            3,
         ),
-        order_ms=round(_took_ms(lambda: order(b"service", names)), 3),
+        order_ms=round(_min_duration_ms(lambda: order(b"service", names)), 3),
         moved_fraction=round(moved, 5),
     )
 
 
 def measure_targets(count: int) -> TargetPoint:
-    """Return what a host list of this many targets costs one node."""
+    """Return the cost to one node of a host list of this many targets."""
     services = max(1, count // 25)
     lists: dict[ServiceId, list[TargetId]] = {}
     for number in range(count):
@@ -225,12 +231,12 @@
         target = TargetId(f"10.1.{number // 250}.{number % 250}:8080")
         lists.setdefault(service, []).append(target)
 
-    def cut_all() -> None:
+    def partition_all() -> None:
         for service, targets in lists.items():
             partition_targets(service, targets)
 
     size = sum(len(target) + 40 for targets in lists.values() for target in targets)
-    return TargetPoint(count, round(_took_ms(cut_all, 3), 2), size)
+    return TargetPoint(count, round(_min_duration_ms(partition_all, 3), 2), size)
 
 
 def _write(name: str, points: Sequence[Any]) -> None:
@@ -275,14 +281,14 @@
 
 
 def main(largest: int = 60, directory: bool = True) -> None:
-    """Measure every slope of the capacity page.
+    """Measure all costs in ``docs/CAPACITY.md``.
 
     Parameters
     ----------
     largest
-        Nodes of the largest fleet of real processes.
+        Number of nodes of the largest fleet of real processes.
     directory
-        Whether to measure memory against customers, too, in fresh processes.
+        Whether to also measure memory by number of customers, in fresh processes.
     """
     members = [measure_members(count) for count in MEMBERS]
     for point in members:
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -1,7 +1,7 @@
-"""Measure memory and lookups of the directory against its number of customers.
+"""Measure memory use and lookup rates of the directory by number of customers.
 
-Each size is measured in a fresh process that has imported a whole node. Run with
-``python -m benchmarks.directory --output FILE``; figures depend on the machine.
+Each size is measured in a fresh process that has imported the code of a whole node.
+Run ``python -m benchmarks.directory --output FILE``; figures depend on the machine.
 """
 
 import argparse
@@ -44,18 +44,18 @@
 
 
 def rss_mb() -> float:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process in MB."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 def service_of(number: int) -> ServiceId:
-    """Return the id of a service."""
+    """Return the id of the service with this number, modulo ``SERVICES``."""
     return ServiceId(f"service-{number % SERVICES}")
 
 
 def fill(customers: int) -> Directory:
-    """Return a directory with one key and one approval a customer."""
+    """Return a directory with one key and one approval per customer."""
     directory = Directory()
     for number in range(SERVICES):
         directory.put_service(Service(service_of(number)))
@@ -71,7 +71,7 @@
 
 
 def per_s(call: Callable[[int], object], numbers: list[int]) -> int:
-    """Return how many calls a second are made."""
+    """Return the number of calls per second."""
     begun_s = time.perf_counter()
     for number in numbers:
         call(number)
@@ -116,7 +116,7 @@
 
 
 def measure_load(path: Path) -> tuple[float, float]:
-    """Return the seconds to load a dump from a file, and the memory after it."""
+    """Return the seconds to load a dump from a file, and the MB of memory after it."""
     begun_s = time.perf_counter()
     with path.open("rb") as file:
         directory = load_parts(iter(lambda: file.read(65_536), b""))
--- a/benchmarks/false_alarms.py
+++ b/benchmarks/false_alarms.py
@@ -1,8 +1,8 @@
 """Count false alarms of the sequential tests over many healthy service-days.
 
-The recursions of ``crocusspindle.core.evidence`` over arrays, one column a target,
-with healthy rates known; ``benchmarks.health`` compares them with the real judge at
-thresholds low enough for it.
+Runs the recursions of ``crocusspindle.core.evidence`` over arrays with one column per
+target and known healthy rates. ``benchmarks.health`` compares the counts with those of
+``GroupHealth`` at thresholds low enough to see any there.
 """
 
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from crocusspindle.core.evidence import FailureTest
 from crocusspindle.core.health_state import HealthSettings
 
-LANES = 8192
+PARALLEL_TARGETS = 8192
 BIN_NATS = 0.5
 BINS = 80
 LEVEL_NATS = 12.0
@@ -45,27 +45,27 @@
     def at_most_per_samples(self, threshold_nats: float, samples: float) -> float:
         """Return the upper end of the 95 % interval, 3 for none seen."""
         reached = float(self.reached[int(threshold_nats / BIN_NATS)])
-        highest = 3.0 if reached == 0.0 else reached + 2.0 * reached**0.5 + 2.0
-        return highest * samples / self.samples
+        upper_bound = 3.0 if reached == 0.0 else reached + 2.0 * reached**0.5 + 2.0
+        return upper_bound * samples / self.samples
 
 
 class Excursions:
-    """Follow many sums that are floored at 0 and note their peaks."""
+    """Keep many sums that are floored at 0, and record the peak of each excursion."""
 
     def __init__(self) -> None:
-        self._nats = np.zeros(LANES)
-        self._peaks = np.zeros(LANES)
+        self._nats = np.zeros(PARALLEL_TARGETS)
+        self._peaks = np.zeros(PARALLEL_TARGETS)
         self.ended = np.zeros(BINS, dtype=np.int64)
 
     def step(self, gains: Floats, cost: float = 0.0) -> None:
-        """Add gains, note the peak, then take the cost off."""
+        """Add the gains, update the peaks, then subtract the cost."""
         self._nats += gains
         np.maximum(self._peaks, self._nats, out=self._peaks)
         self._nats -= cost
-        back = np.flatnonzero(self._nats <= 0.0)
-        peaks = self._peaks[back]
-        self._nats[back] = 0.0
-        self._peaks[back] = 0.0
+        returned = np.flatnonzero(self._nats <= 0.0)
+        peaks = self._peaks[returned]
+        self._nats[returned] = 0.0
+        self._peaks[returned] = 0.0
         high = peaks[peaks >= 4.0]
         bins = np.minimum((high / BIN_NATS).astype(np.int64), BINS - 1)
         self.ended += np.bincount(bins, minlength=BINS)
@@ -78,20 +78,22 @@
     rng = np.random.default_rng(seed)
     healthy_rate = max(error_rate, settings.min_failure_rate)
     tests = [
-        FailureTest.between(healthy_rate, lost)
-        for lost in (settings.mild_loss_fraction, settings.hard_loss_fraction)
+        FailureTest.between(healthy_rate, loss_fraction)
+        for loss_fraction in (settings.mild_loss_fraction, settings.hard_loss_fraction)
     ]
     failures = [Excursions() for _ in tests]
     slow = Excursions()
     gain = 1.0 - 1.0 / settings.slow_factor
     cost = float(np.log(settings.slow_factor))
-    steps = samples // LANES
+    steps = samples // PARALLEL_TARGETS
     for _ in range(steps):
-        failed = rng.random(LANES, dtype=np.float32) < error_rate
+        failed = rng.random(PARALLEL_TARGETS, dtype=np.float32) < error_rate
         for test, sums in zip(tests, failures, strict=True):
             sums.step(np.where(failed, test.failure_nats, test.success_nats))
         # While requests run, their hazard grows by an exponential of mean 1 between
         # two answers, however many slots share it.
-        slow.step(gain * rng.standard_exponential(LANES), cost)
+        slow.step(gain * rng.standard_exponential(PARALLEL_TARGETS), cost)
     ended = slow.ended + sum(sums.ended for sums in failures)
-    return FalseAlarms(steps * LANES, np.cumsum(ended[::-1])[::-1].astype(np.float64))
+    return FalseAlarms(
+        steps * PARALLEL_TARGETS, np.cumsum(ended[::-1])[::-1].astype(np.float64)
+    )
--- a/benchmarks/fleet_start.py
+++ b/benchmarks/fleet_start.py
@@ -1,7 +1,8 @@
-"""Start whole fleets in virtual time, and count what their membership costs.
+"""Start whole fleets in virtual time, and measure the cost of their membership.
 
-The real services of `serve` keep beliefs and views; links have a width, processors are
-free. Each row is one fleet: ten seconds from the start, then at rest for ten.
+The real services of `serve` keep versioned state and views; links have a bandwidth,
+processor time is free. Each row is one fleet: ten seconds from its start, then ten
+seconds idle.
 """
 
 import asyncio
@@ -23,14 +24,14 @@
 FLEETS: Final = ((0, 30), (0, 133), (8, 125), (0, 300), (18, 275), (36, 564))
 TARGETS: Final = 600
 STARTED_S: Final = 10.0
-LOOK_S: Final = 0.25
+POLL_INTERVAL_S: Final = 0.25
 SEED: Final = 1
 RESULTS_PATH: Final = Path("benchmarks/results/fleet-start.csv")
 
 
 @dataclass(frozen=True)
 class Row:
-    """Hold what one fleet cost; ``known_s`` is when all hosts had all lists."""
+    """Hold the cost of one fleet; ``known_s`` is when all hosts had all lists."""
 
     hosts: int
     large: int
@@ -45,7 +46,7 @@
     rest_bytes_a_host_s: float
 
 
-def _all_known(fleet: VirtualFleet) -> bool:
+def _all_lists_known(fleet: VirtualFleet) -> bool:
     return all(
         node.knowledge.configuration.content is not None
         and node.knowledge.targets.content is not None
@@ -60,9 +61,9 @@
     await fleet.start_all()
     known_s = math.inf
     while loop.time() < began_s + STARTED_S:
-        if known_s == math.inf and _all_known(fleet):
+        if known_s == math.inf and _all_lists_known(fleet):
             known_s = loop.time() - began_s
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     hosts = large + small
     calls, sent = fleet.store.calls.total(), fleet.sent()
     sent_bytes = fleet.sent_bytes()
@@ -84,23 +85,23 @@
 
 
 def play(large: int, small: int) -> Row:
-    """Return what one fleet cost."""
+    """Return the cost of one fleet."""
     loop = VirtualLoop()
     rows: list[Row] = []
 
-    async def whole() -> None:
+    async def play_fleet() -> None:
         rows.append(await _play(loop, large, small))
 
     with (
         patch("crocusspindle.clock.time", VirtualTime(loop)),
         logbook.NullHandler().applicationbound(),
     ):
-        run(loop, whole())
+        run(loop, play_fleet())
     return rows[0]
 
 
 def main() -> None:
-    """Play all fleets and write the table."""
+    """Run all fleets and write the table."""
     write_table(Row, [play(large, small) for large, small in FLEETS], RESULTS_PATH)
 
 
--- a/benchmarks/gray_targets.py
+++ b/benchmarks/gray_targets.py
@@ -1,9 +1,9 @@
-"""Measure how soon a gray target is out, and what its windows cost, over the threshold.
+"""Measure detection time and cost of gray targets by the ejection threshold.
 
-The load: a service of 15 targets with 2 slots at a third of them, 59 requests a second
-that must not be repeated, of which sound targets fail 1.2 %. One target after the other
-is gray for five seconds and then sound for as long, while its health path says that all
-is well. The figures are those of the users' own days. Run as
+The load is that of a service in production: 15 targets of 2 slots, a third of them in
+use, and 59 non-idempotent requests a second, of which healthy targets fail 1.2 %. One
+target after another turns gray for five seconds, followed by five seconds without a
+gray target, while all health checks succeed. Run
 ``python -m benchmarks.gray_targets``; all time is virtual and every run is seeded.
 """
 
@@ -38,7 +38,7 @@
 RATE_PER_S: Final = 59.0
 WORK_MS: Final = 160.0
 SPREAD: Final = 0.3
-ERROR_SHARE: Final = 0.012
+ERROR_FRACTION: Final = 0.012
 DEADLINE_MS: Final = 2_500.0
 WINDOW_MS: Final = 5_000.0
 WINDOWS: Final = 40
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Say which part of its requests a gray target fails, and how."""
+    """Define which fraction of its requests a gray target fails, and how."""
 
     name: str
     share: float
-    ending: AttemptOutcome
+    attempt_outcome: AttemptOutcome
 
 
 FAULTS: Final = (
@@ -82,19 +82,19 @@
 
 
 class Placers:
-    """Judge by the product's placer: one for all entries, or one for each."""
+    """Eject with the real service placer: one for all entries, or one per entry."""
 
     def __init__(self, pooled: bool) -> None:
-        self.judges = 1 if pooled else ENTRIES
+        self.instances = 1 if pooled else ENTRIES
         self._placers = [
             ServicePlacer(0.7, RetryBudget(0.2, 58.0, 10_000.0))
-            for _ in range(self.judges)
+            for _ in range(self.instances)
         ]
         for placer in self._placers:
             placer.set_targets(listed(), 0.0)
 
     def place(self, entry: int, now_ms: float) -> tuple[int, GrantId] | None:
-        """Return a target and the grant for it; None if there is no room."""
+        """Return a target and its grant; None if no slot is free."""
         placement_request = PlacementRequest(
             HostId(str(entry)),
             DomainId("a"),
@@ -104,7 +104,7 @@
             800.0,
             now_ms + DEADLINE_MS,
         )
-        answer = self._placers[entry % self.judges].request_placement(
+        answer = self._placers[entry % self.instances].request_placement(
             placement_request, now_ms
         )
         if not isinstance(answer, PlacementGranted):
@@ -112,39 +112,40 @@
         return int(answer.target.identity), answer.grant
 
     def ended(self, end: "End") -> None:
-        """Take the end of a sending."""
-        self._placers[end.entry % self.judges].ended(
+        """Report the end of an attempt to the entry's placer."""
+        self._placers[end.entry % self.instances].ended(
             TargetIdentity(str(end.target)),
             end.grant,
-            end.ending,
+            end.attempt_outcome,
             HostId(str(end.entry)),
             end.span_ms,
             end.at_ms,
         )
 
     def ejected(self, entry: int) -> list[int]:
-        """Return the targets that the entry's judge has ejected since the last call."""
-        changes = self._placers[entry % self.judges].changes()
+        """Return the targets that the entry's placer ejected since the last call."""
+        changes = self._placers[entry % self.instances].changes()
         return [int(c.target) for c in changes if c.standing is EjectionState.EJECTED]
 
 
 class InARow:
-    """Judge by errors in a row, counted for all entries together."""
+    """Eject after consecutive errors, counted for all entries together."""
 
-    judges = 1
+    instances = 1
 
     def __init__(self) -> None:
-        self._row = [0] * TARGETS
-        self._out_until_ms = [0.0] * TARGETS
+        self._failures_in_a_row = [0] * TARGETS
+        self._ejected_until_ms = [0.0] * TARGETS
         self._running = [0] * TARGETS
         self._ejected: list[int] = []
 
     def place(self, entry: int, now_ms: float) -> tuple[int, GrantId] | None:
-        """Return the least loaded target that is in, drawn by the entry's number."""
+        """Return the least loaded target in service; the entry number breaks ties."""
         free = [
             target
             for target in range(TARGETS)
-            if self._out_until_ms[target] <= now_ms and self._running[target] < SLOTS
+            if self._ejected_until_ms[target] <= now_ms
+            and self._running[target] < SLOTS
         ]
         if not free:
             return None
@@ -154,14 +155,16 @@
         return chosen, GrantId(0)
 
     def ended(self, end: "End") -> None:
-        """Count the errors in a row."""
+        """Count consecutive errors; eject the target at the limit."""
         target = end.target
         self._running[target] -= 1
-        answered = end.ending is AttemptOutcome.ANSWERED
-        self._row[target] = 0 if answered else self._row[target] + 1
-        if self._row[target] >= IN_A_ROW:
-            self._out_until_ms[target] = end.at_ms + EJECTION_MS
-            self._row[target] = 0
+        answered = end.attempt_outcome is AttemptOutcome.ANSWERED
+        self._failures_in_a_row[target] = (
+            0 if answered else self._failures_in_a_row[target] + 1
+        )
+        if self._failures_in_a_row[target] >= IN_A_ROW:
+            self._ejected_until_ms[target] = end.at_ms + EJECTION_MS
+            self._failures_in_a_row[target] = 0
             self._ejected.append(target)
 
     def ejected(self, entry: int) -> list[int]:
@@ -172,7 +175,7 @@
 
 @dataclass
 class Outcome:
-    """Hold what one run showed."""
+    """Hold the results of one run."""
 
     detected_ms: list[float] = field(default_factory=list)
     lost: int = 0
@@ -181,47 +184,47 @@
 
     @property
     def lost_a_window(self) -> float:
-        """Return the requests that a gray window cost."""
+        """Return the requests lost per gray window."""
         return self.lost / WINDOWS
 
     @property
     def false_an_hour(self) -> float:
-        """Return how often a sound target went out."""
+        """Return the ejections of healthy targets per hour."""
         return self.false_ejections * 3.6e6 / self.span_ms
 
 
 @dataclass(order=True)
 class End:
-    """Hold how and when a sending will end."""
+    """Hold when and how a running attempt ends."""
 
     at_ms: float
     number: int
     entry: int
     target: int
     grant: GrantId
-    ending: AttemptOutcome
+    attempt_outcome: AttemptOutcome
     span_ms: float
 
 
 class Trial:
-    """Play one service in virtual time."""
+    """Run one service in virtual time."""
 
-    def __init__(self, judge: Placers | InARow, fault: Fault, seed: int) -> None:
-        self._judge = judge
+    def __init__(self, detector: Placers | InARow, fault: Fault, seed: int) -> None:
+        self._detector = detector
         self._fault = fault
-        self._draw = random.Random(seed)
-        self._ends: list[End] = []
+        self._rng = random.Random(seed)
+        self._scheduled_ends: list[End] = []
         self._number = 0
         self._last_lost_ms = [0.0] * WINDOWS
         self._ejected_ms: dict[int, float] = {}
         self.outcome = Outcome(span_ms=2 * WINDOW_MS * WINDOWS)
 
     def run(self) -> Outcome:
-        """Return the outcome of all windows."""
+        """Run all windows and return the results."""
         at_ms = 0.0
         while at_ms < self.outcome.span_ms:
-            at_ms += self._draw.expovariate(RATE_PER_S / 1e3)
-            self._end_until(at_ms)
+            at_ms += self._rng.expovariate(RATE_PER_S / 1e3)
+            self._process_ends_until(at_ms)
             self._send(at_ms)
         self.outcome.detected_ms = [
             self._ejected_ms.get(window, last_ms)
@@ -235,20 +238,28 @@
         return None if into_ms < WINDOW_MS else int(window) % TARGETS
 
     def _send(self, at_ms: float) -> None:
-        entry = self._draw.randrange(ENTRIES)
-        place = self._judge.place(entry, at_ms)
-        self._look(entry, at_ms)
+        entry = self._rng.randrange(ENTRIES)
+        place = self._detector.place(entry, at_ms)
+        self._record_ejections(entry, at_ms)
         if place is None:
             return
         target, grant = place
-        ending, span_ms = self._play(target, at_ms)
+        attempt_outcome, span_ms = self._run_attempt(target, at_ms)
         self._number += 1
-        end = End(at_ms + span_ms, self._number, entry, target, grant, ending, span_ms)
-        heapq.heappush(self._ends, end)
+        end = End(
+            at_ms + span_ms,
+            self._number,
+            entry,
+            target,
+            grant,
+            attempt_outcome,
+            span_ms,
+        )
+        heapq.heappush(self._scheduled_ends, end)
 
-    def _play(self, target: int, at_ms: float) -> tuple[AttemptOutcome, float]:
-        work_ms = WORK_MS * self._draw.lognormvariate(-(SPREAD**2) / 2, SPREAD)
-        if target == self._gray(at_ms) and self._draw.random() < self._fault.share:
+    def _run_attempt(self, target: int, at_ms: float) -> tuple[AttemptOutcome, float]:
+        work_ms = WORK_MS * self._rng.lognormvariate(-(SPREAD**2) / 2, SPREAD)
+        if target == self._gray(at_ms) and self._rng.random() < self._fault.share:
             self.outcome.lost += 1
             window, into_ms = divmod(at_ms, 2 * WINDOW_MS)
             self._last_lost_ms[int(window)] = into_ms - WINDOW_MS
@@ -256,46 +267,48 @@
                 AttemptOutcome.BROKEN: BROKEN_AFTER_MS,
                 AttemptOutcome.SILENT: DEADLINE_MS,
             }
-            return self._fault.ending, spans.get(self._fault.ending, work_ms)
-        failed = self._draw.random() < ERROR_SHARE
+            return self._fault.attempt_outcome, spans.get(
+                self._fault.attempt_outcome, work_ms
+            )
+        failed = self._rng.random() < ERROR_FRACTION
         return (AttemptOutcome.ERROR if failed else AttemptOutcome.ANSWERED), work_ms
 
-    def _end_until(self, at_ms: float) -> None:
-        while self._ends and self._ends[0].at_ms <= at_ms:
-            end = heapq.heappop(self._ends)
-            self._judge.ended(end)
-            self._look(end.entry, end.at_ms)
+    def _process_ends_until(self, at_ms: float) -> None:
+        while self._scheduled_ends and self._scheduled_ends[0].at_ms <= at_ms:
+            end = heapq.heappop(self._scheduled_ends)
+            self._detector.ended(end)
+            self._record_ejections(end.entry, end.at_ms)
 
-    def _look(self, entry: int, at_ms: float) -> None:
+    def _record_ejections(self, entry: int, at_ms: float) -> None:
         window = int(at_ms // (2 * WINDOW_MS))
         gray = self._gray(at_ms)
-        for target in self._judge.ejected(entry):
+        for target in self._detector.ejected(entry):
             recent = (window % TARGETS, (window - 1) % TARGETS)
             if target == gray:
                 began_ms = window * 2 * WINDOW_MS + WINDOW_MS
                 self._ejected_ms.setdefault(window, at_ms - began_ms)
             elif target not in recent:
-                # What was gray in the window before may still be on trial.
+                # A target that was gray in the previous window may still be on trial.
                 self.outcome.false_ejections += 1
 
 
 @contextmanager
 def threshold(nats: float) -> Iterator[None]:
-    """Judge errors by another threshold; a broken connection still ejects."""
-    kept_nats = target_tracker.EJECT_NATS
-    target_tracker.EJECT_NATS = nats  # type: ignore[misc]  # a constant but for trials
+    """Eject at another error threshold; a broken connection still ejects."""
+    previous_nats = target_tracker.EJECT_NATS
+    target_tracker.EJECT_NATS = nats  # type: ignore[misc]  # constant elsewhere
     try:
         yield
     finally:
-        target_tracker.EJECT_NATS = kept_nats  # type: ignore[misc]  # the same
+        target_tracker.EJECT_NATS = previous_nats  # type: ignore[misc]  # constant elsewhere
 
 
 @dataclass(frozen=True)
 class Row:
-    """Hold the figures of one way to judge and one fault.
+    """Hold the figures of one way to detect gray targets and one fault.
 
-    A gray target is detected when it is ejected; one that is only passed over, when it
-    has cost its last request of a window.
+    A gray target counts as detected when it is ejected. One that is only avoided counts
+    as detected at the last request that it costs in a window.
     """
 
     judge: str
@@ -307,12 +320,12 @@
 
 
 def measure(judge: str, fault: Fault, nats: float, seeds: int = SEEDS) -> Row:
-    """Return the figures of a way to judge over several seeds."""
+    """Return the figures of one way to detect gray targets over several seeds."""
     outcomes = []
     with threshold(nats):
         for seed in range(seeds):
-            judging = InARow() if judge == "in a row" else Placers(judge == "pooled")
-            outcomes.append(Trial(judging, fault, seed).run())
+            detector = InARow() if judge == "in a row" else Placers(judge == "pooled")
+            outcomes.append(Trial(detector, fault, seed).run())
     times = sorted(time for outcome in outcomes for time in outcome.detected_ms)
     return Row(
         judge if judge != "pooled" else f"pooled {nats:g}",
@@ -325,7 +338,7 @@
 
 
 def rows() -> list[Row]:
-    """Return the figures of all ways and faults."""
+    """Return the figures of all ways to detect and all faults."""
     found = []
     for fault in FAULTS:
         found += [measure("pooled", fault, nats) for nats in THRESHOLDS_NATS]
@@ -335,20 +348,20 @@
 
 
 def check() -> list[str]:
-    """Return what breaks the committed bounds at the chosen threshold."""
+    """Return the figures at the chosen threshold that exceed the committed bounds."""
     bounds = json.loads(BOUNDS_PATH.read_text())
     broken = []
     for fault in FAULTS:
         row = measure("pooled", fault, CHOSEN_NATS, seeds=1)
-        for name, most in bounds[fault.name].items():
+        for name, bound in bounds[fault.name].items():
             figure = getattr(row, name)
-            if figure > most:
-                broken.append(f"{fault.name}: {name} {figure:.1f} > {most}")
+            if figure > bound:
+                broken.append(f"{fault.name}: {name} {figure:.1f} > {bound}")
     return broken
 
 
 def plot(found: list[Row]) -> None:
-    """Draw what a window costs and how often sound targets go out."""
+    """Plot requests lost per window and ejections of healthy targets."""
     import matplotlib  # noqa: PLC0415 - only the plot needs it
 
     matplotlib.use("Agg")
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -1,6 +1,6 @@
-"""Measure detection time against false ejections over the threshold.
+"""Measure detection time and false ejections by the ejection threshold.
 
-Run as ``python -m benchmarks.health``; all figures are of virtual time and seeded.
+Run ``python -m benchmarks.health``; all time is virtual and every run is seeded.
 """
 
 import argparse
@@ -40,13 +40,13 @@
 THRESHOLDS_NATS: Final = (12.0, 15.0, 18.0, 21.0, 24.0)
 FIVE_ERRORS: Final = "five errors"
 CHOSEN: Final = "chosen"
-AIM_SEEDS: Final = 60
-JUDGED_MS: Final = 400_000.0
+OBJECTIVE_SEEDS: Final = 60
+EVALUATED_MS: Final = 400_000.0
 
 
 @dataclass(frozen=True)
 class Group:
-    """Describe the targets of one service of today."""
+    """Describe the targets of one service, and the number of seeds to run."""
 
     name: str
     targets: int
@@ -55,15 +55,15 @@
 
     @property
     def requests_per_day(self) -> float:
-        """Return the requests of a day at the load of the benchmark."""
+        """Return the requests per day at the load of the benchmark."""
         return DAY_S * 1e3 * LOAD * self.targets * self.slots / MEAN_WORK_MS
 
     @property
     def chosen_nats(self) -> float:
-        """Return the threshold that the judge derives from this load."""
+        """Return the threshold that ``GroupHealth`` derives from this load."""
         settings = HealthSettings()
-        looks = FALSE_ALARMS_FACTOR * self.requests_per_day
-        return log(looks / settings.false_ejections_per_day)
+        evaluations = FALSE_ALARMS_FACTOR * self.requests_per_day
+        return log(evaluations / settings.false_ejections_per_day)
 
 
 GROUPS: Final = (
@@ -95,7 +95,7 @@
 def watch_fault(
     group: Group, bad: Behaviour, seed: int, thresholds_nats: Iterable[float]
 ) -> dict[str, float]:
-    """Return the detection time by each threshold and by five errors in a row."""
+    """Return the detection time by each threshold and by five consecutive errors."""
     trial = HealthTrial.from_config(
         group.targets,
         group.slots,
@@ -116,20 +116,21 @@
     while end_ms < WARM_MS + WATCH_MS:
         end_ms += 250.0
         trial.run_until(end_ms)
-        judges = [w for name, w in trial.watchers.items() if name != FIVE_ERRORS]
-        if all(gray in watcher.ejected_ms for watcher in judges):
+        evaluators = [w for name, w in trial.watchers.items() if name != FIVE_ERRORS]
+        if all(gray in watcher.ejected_ms for watcher in evaluators):
             break
-    # Five errors not found while the others looked on are no figure: see its mean.
+    # Five errors in a row may come later than the run ends and are then infinite; see
+    # five_errors_mean_s for their mean.
     return {
         name: watcher.ejected_ms.get(gray, float("inf")) - WARM_MS
         for name, watcher in trial.watchers.items()
     }
 
 
-def quantile(values: list[float], part: float) -> float:
-    """Return the smallest value with at least this part at or below it."""
+def quantile(values: list[float], fraction: float) -> float:
+    """Return the smallest value with at least this fraction at or below it."""
     ordered = sorted(values)
-    return ordered[max(0, ceil(part * len(ordered)) - 1)]
+    return ordered[max(0, ceil(fraction * len(ordered)) - 1)]
 
 
 def detection_times(
@@ -149,57 +150,57 @@
 
 
 def five_errors_mean_s(rate: float, requests_per_s: float) -> float:
-    """Return the mean time to five errors in a row, by the geometric run formula."""
+    """Return the mean time to five consecutive errors, by the geometric run formula."""
     return (1.0 - rate**5) / (rate**5 * (1.0 - rate)) / requests_per_s
 
 
-def judged_alarms(threshold_nats: float, seed: int) -> tuple[int, int]:
-    """Return the false ejections by the real judge and the work that it judged."""
+def evaluated_alarms(threshold_nats: float, seed: int) -> tuple[int, int]:
+    """Return the false ejections by ``GroupHealth``, and the requests evaluated."""
     trial = HealthTrial.from_config(
         8, 2, load=LOAD, seed=seed, settings=settings_at(threshold_nats)
     )
-    trial.run_until(JUDGED_MS)
-    return len(trial.times(Ejected)), trial.works
+    trial.run_until(EVALUATED_MS)
+    return len(trial.times(Ejected)), trial.completed_requests
 
 
 def measure_flapping(seed: int) -> dict[str, float]:
-    """Return how much a target, bad for 5 s in 10, fails of two minutes' work."""
+    """Return what fraction fails in two minutes if one target is bad 5 s in 10."""
     result = {}
     for name, config in (("judged", HealthSettings()), ("never", settings_at(1e9))):
         trial = HealthTrial.from_config(8, 2, seed=seed, settings=config)
         gray = trial.targets[0].target
         trial.behaviours[gray] = flapping(WARM_MS, 5_000.0, failing(1.0))
         trial.run_until(WARM_MS + 120_000.0)
-        result[f"{name}_failed"] = trial.failures / trial.works
+        result[f"{name}_failed"] = trial.failures / trial.completed_requests
         result[f"{name}_ejections"] = float(len(trial.times(Ejected, gray)))
         if name == "judged":
             result["first_ms"] = (trial.first(Ejected, gray) or 0.0) - WARM_MS
     return result
 
 
-def measure_floor_price(seed: int) -> dict[str, dict[str, float]]:
-    """Return the part of callers' requests failed or not served in time.
+def measure_floor_cost(seed: int) -> dict[str, dict[str, float]]:
+    """Return the fraction of requests that failed or were not served in time.
 
     By load and by how many of 8 targets fail all work, within one minute.
 
-    Whole is the cap that one home alone could use, half the share of one of two, and
-    none does without ejection.
+    "whole" lets one coordinator use the whole ejection cap, "half" the share of one of
+    two coordinators, and "none" ejects no target.
     """
     ways = {
         "none": settings_at(1e9),
         "half": HealthSettings(),
         "whole": replace(HealthSettings(), coordinators_at_once=1),
     }
-    prices: dict[str, dict[str, float]] = {}
+    costs: dict[str, dict[str, float]] = {}
     for name, config in ways.items():
-        prices[name] = {}
+        costs[name] = {}
         for load, bad in product((0.3, LOAD), (1, 2, 3, 4)):
             trial = HealthTrial.from_config(8, 2, load=load, seed=seed, settings=config)
             for target in trial.targets[:bad]:
                 trial.behaviours[target.target] = failing(1.0)
             trial.run_until(60_000.0)
-            prices[name][f"{bad} at {load:.0%}"] = round(trial.failed_part, 4)
-    return prices
+            costs[name][f"{bad} at {load:.0%}"] = round(trial.failed_fraction, 4)
+    return costs
 
 
 def measure(samples: int) -> dict[str, Any]:
@@ -207,26 +208,30 @@
     alarms = count_false_alarms(samples, 1, HEALTHY_ERROR_RATE, HealthSettings())
     detection: dict[str, Any] = {}
     for group in GROUPS:
-        # The whole curve at one service; the chosen point at the others.
+        # All thresholds for one service; only the chosen one for the others.
         curve = THRESHOLDS_NATS if group.name == "katalog" else ()
         detection[group.name] = {
             fault: detection_times(group, fault, curve) for fault in FAULTS
         }
-    aim_group = replace(GROUPS[0], seeds=AIM_SEEDS)
-    judged = {}
+    objective_group = replace(GROUPS[0], seeds=OBJECTIVE_SEEDS)
+    evaluated = {}
     for nats in (6.0, 8.0):
-        seen, works = judged_alarms(nats, seed=7)
-        counted = alarms.per_samples(nats, works)
-        judged[f"{nats:g}"] = {"judged": seen, "counted": counted, "works": works}
+        seen, completed_requests = evaluated_alarms(nats, seed=7)
+        counted = alarms.per_samples(nats, completed_requests)
+        evaluated[f"{nats:g}"] = {
+            "judged": seen,
+            "counted": counted,
+            "works": completed_requests,
+        }
     return {
         "chosen_nats": {group.name: group.chosen_nats for group in GROUPS},
         "healthy_samples": alarms.samples,
         "false_per_day": {group.name: false_per_day(group, alarms) for group in GROUPS},
         "detection": detection,
-        "aim": detection_times(aim_group, "fails 30 %", ())[CHOSEN],
-        "judged_alarms": judged,
+        "aim": detection_times(objective_group, "fails 30 %", ())[CHOSEN],
+        "judged_alarms": evaluated,
         "flapping": measure_flapping(1),
-        "floor_price": measure_floor_price(1),
+        "floor_price": measure_floor_cost(1),
         "five_errors_mean_s": {
             f"{rate:g}": five_errors_mean_s(rate, 28.0) for rate in (0.1, 0.3)
         },
@@ -234,7 +239,7 @@
 
 
 def false_per_day(group: Group, alarms: FalseAlarms) -> dict[str, dict[str, float]]:
-    """Return the false ejections a day, seen and at most, by threshold."""
+    """Return the false ejections per day, measured and at most, by threshold."""
     day = group.requests_per_day
     levels = {f"{nats:g}": nats for nats in THRESHOLDS_NATS}
     levels[CHOSEN] = group.chosen_nats
@@ -249,7 +254,7 @@
 
 
 def print_table(figures: Mapping[str, Any]) -> None:
-    """Print detection and false ejections."""
+    """Print detection times and false ejections."""
     print("service        fault        threshold    p50 ms   p95 ms")
     for name, faults in figures["detection"].items():
         for fault, by_threshold in faults.items():
@@ -277,7 +282,7 @@
 
 
 def plot(figures: Mapping[str, Any], path: Path) -> None:
-    """Draw detection time and false ejections over the threshold."""
+    """Plot detection time and false ejections by threshold."""
     import matplotlib  # noqa: PLC0415 - only the plot needs it
 
     matplotlib.use("Agg")
@@ -307,7 +312,7 @@
 
 
 def check() -> list[str]:
-    """Return what breaks the committed bounds, on a quick part of the figures."""
+    """Return the figures that exceed the committed bounds, from a short run."""
     bounds = json.loads(BOUNDS_PATH.read_text())
     katalog = replace(GROUPS[0], seeds=12)
     broken = []
@@ -326,7 +331,7 @@
 
 
 def main() -> None:
-    """Measure, print, and write what the arguments name."""
+    """Check the bounds, or measure, print, plot and write all figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--output", type=Path)
     parser.add_argument("--check", action="store_true")
--- a/benchmarks/health_trial.py
+++ b/benchmarks/health_trial.py
@@ -1,7 +1,7 @@
-"""Put one group's health judging through faults in virtual time.
+"""Evaluate the health of one group under faults in virtual time.
 
-One queue feeds the slots of one group, as at its home; nothing else of the fleet is
-modelled.
+One queue feeds the slots of one group, as at its coordinator; nothing else of the fleet
+is modelled.
 """
 
 import heapq
@@ -33,7 +33,7 @@
 
 
 def healthy(rng: Random, now_ms: float) -> tuple[Outcome, float]:
-    """Work as a healthy target does."""
+    """Return outcome and latency of a request at a healthy target."""
     return failing(HEALTHY_ERROR_RATE)(rng, now_ms)
 
 
@@ -48,7 +48,7 @@
 
 
 def slow(factor: float) -> Behaviour:
-    """Return the behaviour of a target that takes longer for all its work."""
+    """Return the behaviour of a target that is slower by a factor."""
 
     def work(rng: Random, now_ms: float) -> tuple[Outcome, float]:
         outcome, latency_ms = healthy(rng, now_ms)
@@ -58,21 +58,21 @@
 
 
 def silent(rng: Random, now_ms: float) -> tuple[Outcome, float]:
-    """Never answer."""
+    """Return a timeout, as from a target that never answers."""
     return Outcome.TIMEOUT, TIMEOUT_MS
 
 
 def since(begin_ms: float, bad: Behaviour) -> Behaviour:
-    """Return a behaviour that is healthy before a time and bad after it."""
+    """Return a behaviour that is healthy before a time and bad from then on."""
     return lambda rng, now_ms: (bad if now_ms >= begin_ms else healthy)(rng, now_ms)
 
 
 def flapping(begin_ms: float, half_period_ms: float, bad: Behaviour) -> Behaviour:
-    """Return a behaviour that is bad and healthy by turns."""
+    """Return a behaviour that is alternately bad and healthy."""
 
     def work(rng: Random, now_ms: float) -> tuple[Outcome, float]:
-        turn = (now_ms - begin_ms) // half_period_ms
-        is_bad = now_ms >= begin_ms and turn % 2 == 0
+        half_periods = (now_ms - begin_ms) // half_period_ms
+        is_bad = now_ms >= begin_ms and half_periods % 2 == 0
         return (bad if is_bad else healthy)(rng, now_ms)
 
     return work
@@ -87,7 +87,7 @@
 
 
 class Watcher:
-    """Watch the work that another judge places, and note its first ejection."""
+    """Evaluate attempts that another evaluator places; record the first ejection."""
 
     def __init__(self, judge: GroupHealth, reaches: Callable[[TargetId], bool]) -> None:
         self.judge = judge
@@ -95,40 +95,42 @@
         self.ejected_ms: dict[TargetId, float] = {}
 
     def observe(self, sample: Sample, now_ms: float) -> None:
-        """Pass one ended sending on, until the first ejection."""
+        """Pass one ended attempt on, until the first ejection."""
         if self.ejected_ms:
             return
-        self.note(self.judge.observe(sample, now_ms), now_ms)
+        self.record(self.judge.observe(sample, now_ms), now_ms)
 
-    def note(self, changes: list[HealthChange], now_ms: float) -> None:
-        """Note ejections and give second opinions."""
+    def record(self, changes: list[HealthChange], now_ms: float) -> None:
+        """Record ejections and deliver second opinions."""
         for change in changes:
             if isinstance(change, Ejected):
                 self.ejected_ms.setdefault(change.target, now_ms)
             elif isinstance(change, SecondOpinionWanted):
                 reached = self.reaches(change.target)
-                answered = self.judge.second_opinion(change.target, reached, now_ms)
-                self.note(answered, now_ms)
+                further_changes = self.judge.second_opinion(
+                    change.target, reached, now_ms
+                )
+                self.record(further_changes, now_ms)
 
     def tick(self, running: Mapping[TargetId, dict[int, float]], now_ms: float) -> None:
         """Pass the tick and the ages of outstanding requests on."""
         if self.ejected_ms:
             return
-        self.note(self.judge.tick(now_ms), now_ms)
-        for target, begun in running.items():
-            ages_ms = [now_ms - at_ms for at_ms in begun.values()]
-            self.note(self.judge.outstanding(target, ages_ms, now_ms), now_ms)
+        self.record(self.judge.tick(now_ms), now_ms)
+        for target, start_times in running.items():
+            ages_ms = [now_ms - at_ms for at_ms in start_times.values()]
+            self.record(self.judge.outstanding(target, ages_ms, now_ms), now_ms)
 
 
 class FiveErrors(Watcher):
-    """Eject on five errors in a row, the baseline."""
+    """Baseline: eject on five consecutive errors."""
 
     def __init__(self) -> None:
         self.ejected_ms = {}
         self._in_a_row: dict[TargetId, int] = {}
 
     def observe(self, sample: Sample, now_ms: float) -> None:
-        """Count errors in a row."""
+        """Count consecutive errors."""
         in_a_row = self._in_a_row.get(sample.target, 0) + 1
         if sample.outcome not in FAILURES:
             in_a_row = 0
@@ -142,7 +144,7 @@
 
 @dataclass
 class HealthTrial:
-    """Drive a judge with the work of one group and note what it decides."""
+    """Run one group against ``GroupHealth`` and record the health changes."""
 
     targets: list[Target]
     load: float
@@ -154,7 +156,7 @@
     changes: list[tuple[float, HealthChange]] = field(default_factory=list)
     watchers: dict[str, "Watcher"] = field(default_factory=dict)
     failures: int = 0
-    works: int = 0
+    completed_requests: int = 0
     unserved: int = 0
 
     @classmethod
@@ -168,13 +170,13 @@
         floor_fraction: float = 0.5,
         settings: HealthSettings | None = None,
     ) -> "HealthTrial":
-        """Make a trial of one group under a load, as a fraction of its slots."""
+        """Return a trial of one group; ``load`` is a fraction of its slots."""
         judge = GroupHealth.from_config(settings or HealthSettings(), floor_fraction)
         return cls(make_targets(count, slots), load, seed, judge)
 
     def __post_init__(self) -> None:
         self._rng = Random(self.seed)
-        self._order = 0
+        self._sequence = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._queue: deque[float] = deque()
         self._running: dict[TargetId, dict[int, float]] = {
@@ -182,15 +184,15 @@
         }
         total_slots = sum(target.slots for target in self.targets)
         self._gap_ms = MEAN_WORK_MS / (self.load * total_slots)
-        self._note(self.judge.set_targets(self.targets, 0.0))
+        self._record(self.judge.set_targets(self.targets, 0.0))
         self._at(0.0, self._arrive)
         self._at(0.0, self._tick)
 
     def run_until(self, end_ms: float) -> None:
-        """Let virtual time pass."""
+        """Run all events up to a virtual time."""
         while self._events and self._events[0][0] <= end_ms:
-            self.now_ms, _, act = heapq.heappop(self._events)
-            act()
+            self.now_ms, _, callback = heapq.heappop(self._events)
+            callback()
         self.now_ms = end_ms
 
     def first(self, kind: type, target: TargetId | None = None) -> float | None:
@@ -207,9 +209,9 @@
         ]
 
     @property
-    def failed_part(self) -> float:
-        """Return the part of ended and given-up requests without a good answer."""
-        ended = self.works + self.unserved
+    def failed_fraction(self) -> float:
+        """Return the fraction of ended requests that failed or were not served."""
+        ended = self.completed_requests + self.unserved
         return (self.failures + self.unserved) / ended
 
     def reaches(self, target: TargetId) -> bool:
@@ -218,22 +220,22 @@
         outcome, _ = behaviour(Random(0), self.now_ms)
         return self.reached_elsewhere or outcome is not Outcome.TIMEOUT
 
-    def _at(self, at_ms: float, act: Callable[[], None]) -> None:
-        self._order += 1
-        heapq.heappush(self._events, (at_ms, self._order, act))
+    def _at(self, at_ms: float, callback: Callable[[], None]) -> None:
+        self._sequence += 1
+        heapq.heappush(self._events, (at_ms, self._sequence, callback))
 
-    def _note(self, changes: list[HealthChange]) -> None:
+    def _record(self, changes: list[HealthChange]) -> None:
         for change in changes:
             self.changes.append((self.now_ms, change))
             if isinstance(change, SecondOpinionWanted):
-                self._ask(change.target)
+                self._request_second_opinion(change.target)
 
-    def _ask(self, target: TargetId) -> None:
-        def answer() -> None:
+    def _request_second_opinion(self, target: TargetId) -> None:
+        def deliver_opinion() -> None:
             reached = self.reaches(target)
-            self._note(self.judge.second_opinion(target, reached, self.now_ms))
+            self._record(self.judge.second_opinion(target, reached, self.now_ms))
 
-        self._at(self.now_ms + OPINION_MS, answer)
+        self._at(self.now_ms + OPINION_MS, deliver_opinion)
 
     def _arrive(self) -> None:
         self._at(self.now_ms + self._rng.expovariate(1.0 / self._gap_ms), self._arrive)
@@ -242,13 +244,13 @@
 
     def _tick(self) -> None:
         self._at(self.now_ms + TICK_MS, self._tick)
-        self._note(self.judge.tick(self.now_ms))
-        for target, begun in self._running.items():
-            ages_ms = [self.now_ms - at_ms for at_ms in begun.values()]
-            self._note(self.judge.outstanding(target, ages_ms, self.now_ms))
+        self._record(self.judge.tick(self.now_ms))
+        for target, start_times in self._running.items():
+            ages_ms = [self.now_ms - at_ms for at_ms in start_times.values()]
+            self._record(self.judge.outstanding(target, ages_ms, self.now_ms))
         for watcher in self.watchers.values():
             watcher.tick(self._running, self.now_ms)
-        # Nobody waits longer than his deadline.
+        # Requests leave the queue at their deadline.
         while self._queue and self._queue[0] < self.now_ms - TIMEOUT_MS:
             self._queue.popleft()
             self.unserved += 1
@@ -280,18 +282,18 @@
     def _send(self, target: TargetId) -> None:
         behaviour = self.behaviours.get(target, healthy)
         outcome, latency_ms = behaviour(self._rng, self.now_ms)
-        self._order += 1
-        attempt = self._order
+        self._sequence += 1
+        attempt = self._sequence
         self._running[target][attempt] = self.now_ms
         if self.judge.wants_trial(target, self.now_ms):
             self.judge.trial_sent(target, self.now_ms)
 
         def end() -> None:
             del self._running[target][attempt]
-            self.works += 1
+            self.completed_requests += 1
             self.failures += outcome is not Outcome.OK
             sample = Sample(target, outcome, latency_ms)
-            self._note(self.judge.observe(sample, self.now_ms))
+            self._record(self.judge.observe(sample, self.now_ms))
             for watcher in self.watchers.values():
                 watcher.observe(sample, self.now_ms)
             self._place()
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -1,8 +1,8 @@
-"""Measure what each mechanism of placing is worth, by switching it off.
+"""Measure the effect of each placing mechanism by switching it off.
 
-Loads and faults are those of services of 15 to 20 targets: gray windows of each kind,
-short work beside long, paths that lose connections, a service over its capacity. Each
-is played with all mechanisms and without each one, with the same seeds. Run as
+Loads and faults are those of services of 15 to 20 targets: gray failures of each kind,
+short requests beside long ones, paths that lose connections, a service over its
+capacity. Each runs with all mechanisms and without each one, with the same seeds. Run
 ``python -m benchmarks.placing``; all time is virtual.
 """
 
@@ -28,8 +28,8 @@
 FIGURE_PATH: Final = ROOT / "docs" / "figures" / "placing.png"
 SEEDS: Final = 6
 CHECK_SEEDS: Final = 2
-JOBS: Final = 4
-LATE_WORTH: Final = 0.3
+PROCESSES: Final = 4
+LATE_CREDIT: Final = 0.3
 
 LOOKUP: Final = Work("lookup", True, 22.6, 160.0, 0.5, 600.0, 1_500.0, priority=2)
 CONFIRM: Final = Work("confirm", False, 50.8, 210.0, 0.3, 600.0, 2_000.0)
@@ -39,12 +39,12 @@
 
 
 def gray(ending: AttemptOutcome, fails: float = 0.75) -> Gray:
-    """Return windows of some seconds at each target, once in nine seconds or so."""
+    """Return gray failures of 1.5 to 3.5 s per target in 90 % of periods of 9 s."""
     return Gray(0.9, 9_000.0, 1_500.0, 3_500.0, fails, ending)
 
 
 def faster(site: Site, factor: float) -> Site:
-    """Return a site that is asked more often."""
+    """Return the scenario with all request rates multiplied by a factor."""
     works = [replace(work, rate_per_s=work.rate_per_s * factor) for work in site.works]
     return replace(site, works=works)
 
@@ -70,10 +70,12 @@
 
 @dataclass(frozen=True)
 class Row:
-    """Hold what callers got under one load, without one mechanism.
+    """Hold the results for callers under one load, without one mechanism.
 
-    ``credit`` counts an answer after its aim for a part, and all requests alike;
-    ``credit_error`` is its standard error over the seeds.
+    ``credit`` is the mean over all requests, where an answer later than its latency
+    objective counts ``LATE_CREDIT``; ``credit_error`` is its standard error over the
+    seeds. ``sendings`` are attempts per request, ``far`` is the fraction of attempts to
+    targets in other failure domains.
     """
 
     load: str
@@ -88,68 +90,68 @@
 
 
 def play(load: str, without: str, seed: int) -> tuple[float, ...]:
-    """Return the shares of one run, over all routes together."""
+    """Return the figures of one run, over all routes together, in order of ``Row``."""
     policies = Policies.from_names(without)
     tallies = PlacingTrial(LOADS[load], seed, policies=policies).run().values()
     asked = sum(tally.asked for tally in tallies)
     sendings = sum(tally.sendings for tally in tallies)
     return (
-        sum(tally.in_aim + LATE_WORTH * tally.late for tally in tallies) / asked,
+        sum(tally.in_aim + LATE_CREDIT * tally.late for tally in tallies) / asked,
         sum(tally.late for tally in tallies) / asked,
         sum(tally.lost for tally in tallies) / asked,
         sum(tally.refused for tally in tallies) / asked,
         sendings / asked,
-        sum(tally.far for tally in tallies) / sendings,
+        sum(tally.other_domain for tally in tallies) / sendings,
     )
 
 
 def rows(cases: Iterable[tuple[str, str]], seeds: int) -> list[Row]:
-    """Play all cases, several at a time."""
+    """Return the figures of all cases, run in several processes."""
     cases = list(cases)
     plays = [(*case, seed) for case in cases for seed in range(seeds)]
-    with ProcessPoolExecutor(JOBS) as pool:
+    with ProcessPoolExecutor(PROCESSES) as pool:
         found = list(pool.map(play, *zip(*plays, strict=True)))
-    made = []
+    result_rows = []
     for number, (load, without) in enumerate(cases):
         runs = found[number * seeds : (number + 1) * seeds]
         credits = [run[0] for run in runs]
         error = statistics.stdev(credits) / math.sqrt(seeds)
         means = [statistics.mean(column) for column in zip(*runs, strict=True)]
-        made.append(Row(load, without, means[0], error, *means[1:]))
-    return made
+        result_rows.append(Row(load, without, means[0], error, *means[1:]))
+    return result_rows
 
 
 def check() -> list[str]:
-    """Return what breaks the committed bounds with all mechanisms on."""
+    """Return the figures with all mechanisms on that exceed the committed bounds."""
     bounds = json.loads(BOUNDS_PATH.read_text())
     broken = []
     for row in rows(((load, "") for load in bounds), CHECK_SEEDS):
-        for name, most in bounds[row.load].items():
+        for name, bound in bounds[row.load].items():
             figure = getattr(row, name)
-            if figure > most:
-                broken.append(f"{row.load}: {name} {figure:.4f} > {most}")
+            if figure > bound:
+                broken.append(f"{row.load}: {name} {figure:.4f} > {bound}")
     return broken
 
 
 def plot(found: list[Row]) -> None:
-    """Draw what each mechanism is worth under each load."""
+    """Plot the effect of each mechanism under each load."""
     import matplotlib  # noqa: PLC0415 - only the plot needs it
 
     matplotlib.use("Agg")
     from matplotlib import pyplot  # noqa: PLC0415 - only the plot needs it
 
-    whole = {row.load: row for row in found if not row.without}
+    with_all = {row.load: row for row in found if not row.without}
     names = [policy.value for policy in Policy]
     figure, axis = pyplot.subplots(figsize=(10, 6))
     for number, load in enumerate(LOADS):
-        worth = {
-            row.without: whole[load].credit - row.credit
+        credit_lost = {
+            row.without: with_all[load].credit - row.credit
             for row in found
             if row.load == load
         }
         offset = (number - len(LOADS) / 2) * 0.08
         places = [place + offset for place in range(len(names))]
-        axis.barh(places, [worth[name] for name in names], 0.08, label=load)
+        axis.barh(places, [credit_lost[name] for name in names], 0.08, label=load)
     axis.set_yticks(range(len(names)), names)
     axis.set_xlabel("credit lost without it (share of all)")
     axis.legend(fontsize=7)
--- a/benchmarks/placing_trial.py
+++ b/benchmarks/placing_trial.py
@@ -1,7 +1,7 @@
-"""Play the requests of one service in virtual time, from their asking to their end.
+"""Simulate the requests of one service in virtual time, from arrival to outcome.
 
-The real placer decides; entries, targets and faults are played. Entries hedge and
-repeat as the product's do. All time is virtual and every run is seeded.
+The real service placer decides; entries, targets and faults are simulated. Entries
+hedge and retry as real ones do. All time is virtual and every run is seeded.
 """
 
 import heapq
@@ -25,15 +25,15 @@
 from crocusspindle.ids import DomainId, HostId, ServiceId
 
 BROKEN_AFTER_MS: Final = 1.0
-TARGETS_TRIED_MAX: Final = 4
-SETTLE_MS: Final = 20.0
-HEDGE_AGAIN_MS: Final = 150.0
-FLOOR_SHARE: Final = 0.7
+MAX_TARGETS_TRIED: Final = 4
+TICK_MS: Final = 20.0
+HEDGE_RETRY_MS: Final = 150.0
+FLOOR_FRACTION: Final = 0.7
 
 
 @dataclass(frozen=True)
 class Work:
-    """Describe the requests of one route."""
+    """Describe the requests of one route; ``work_ms`` is the mean service time."""
 
     name: str
     idempotent: bool
@@ -48,19 +48,19 @@
     from_ms: float = 0.0
     until_ms: float = math.inf
 
-    def draw_ms(self, draw: random.Random) -> float:
-        """Return how long one request works, log-normally distributed."""
+    def draw_ms(self, rng: random.Random) -> float:
+        """Return the service time of one request, log-normally distributed."""
         sigma = math.sqrt(math.log(1.0 + self.spread**2))
-        return self.work_ms * draw.lognormvariate(-(sigma**2) / 2, sigma)
+        return self.work_ms * rng.lognormvariate(-(sigma**2) / 2, sigma)
 
 
 @dataclass(frozen=True)
 class Gray:
-    """Say how often targets turn gray, for how long, and what they then do.
+    """Define how often targets turn gray, for how long, and how they fail.
 
-    A target is drawn with a chance of `share` in each period. It is gray for a time
-    between the two bounds, and then fails a part of its requests by `ending`. Of
-    ``ANSWERED`` that means that they take `slow` times as long.
+    In each period a target turns gray with a probability of `share`, for a time between
+    the two bounds. It then fails the fraction `failure_fraction` of its requests with
+    `outcome`; for ``ANSWERED`` these take `slow` times as long instead.
     """
 
     share: float
@@ -74,13 +74,14 @@
 
 @dataclass(frozen=True)
 class BadPaths:
-    """Say which share of the pairs of entry and target lose connections, and how many.
+    """Define which pairs of entry and target lose connections, and how many.
 
-    A pair is drawn once. A connection that is lost is given up after a time.
+    `share` is the fraction of pairs, drawn once; `loss_fraction` that of their
+    connections. An entry gives up a lost connection after `connect_ms`.
     """
 
     share: float
-    loses: float
+    loss_fraction: float
     from_ms: float = 10_000.0
     until_ms: float = 40_000.0
     connect_ms: float = 300.0
@@ -88,7 +89,7 @@
 
 @dataclass(frozen=True)
 class Site:
-    """Describe one service and the load on it."""
+    """Describe one service with its load and faults."""
 
     targets: int
     slots: int
@@ -104,7 +105,7 @@
 
 @dataclass
 class Tally:
-    """Count how the requests of one route ended."""
+    """Count the requests of one route by result."""
 
     asked: int = 0
     in_aim: int = 0
@@ -112,33 +113,33 @@
     lost: int = 0
     refused: int = 0
     sendings: int = 0
-    far: int = 0
+    other_domain: int = 0
     latencies_ms: list[float] = field(default_factory=list)
 
     @property
     def served(self) -> float:
-        """Return the share that was answered."""
+        """Return the fraction that was answered."""
         return (self.in_aim + self.late) / max(1, self.asked)
 
     @property
     def lost_share(self) -> float:
-        """Return the share that neither was answered nor heard that it did not run."""
+        """Return the fraction neither answered nor refused as not run."""
         return self.lost / max(1, self.asked)
 
-    def credit(self, late_worth: float = 0.3) -> float:
-        """Return the worth of the answers, where a late one has a part of it."""
-        return (self.in_aim + late_worth * self.late) / max(1, self.asked)
+    def credit(self, late_credit: float = 0.3) -> float:
+        """Return the fraction answered, where a late answer counts ``late_credit``."""
+        return (self.in_aim + late_credit * self.late) / max(1, self.asked)
 
 
 @dataclass
 class _Request:
-    work: Work
+    route_load: Work
     entry: HostId
     domain: DomainId
     began_ms: float
     ends_ms: float
     tried: set[TargetIdentity] = field(default_factory=set)
-    arrived: int = 0
+    attempts_reached: int = 0
     running: int = 0
     done: bool = False
 
@@ -147,13 +148,13 @@
 class _Event:
     at_ms: float
     number: int
-    act: Callable[[float], None] = field(compare=False)
+    callback: Callable[[float], None] = field(compare=False)
 
 
 class GrayPlan:
     """Draw once when each target is gray."""
 
-    def __init__(self, site: Site, draw: random.Random) -> None:
+    def __init__(self, site: Site, rng: random.Random) -> None:
         self._windows: list[list[tuple[float, float]]] = [
             [] for _ in range(site.targets)
         ]
@@ -161,43 +162,43 @@
         if gray is None:
             return
         for windows in self._windows:
-            period_began_ms = -draw.uniform(0.0, gray.period_ms)
+            period_began_ms = -rng.uniform(0.0, gray.period_ms)
             while period_began_ms < site.length_ms:
-                if draw.random() < gray.share:
-                    span_ms = draw.uniform(gray.shortest_ms, gray.longest_ms)
+                if rng.random() < gray.share:
+                    span_ms = rng.uniform(gray.shortest_ms, gray.longest_ms)
                     latest_ms = max(0.0, gray.period_ms - span_ms)
-                    at_ms = period_began_ms + draw.uniform(0.0, latest_ms)
+                    at_ms = period_began_ms + rng.uniform(0.0, latest_ms)
                     windows.append((at_ms, at_ms + span_ms))
                 period_began_ms += gray.period_ms
 
     def gray(self, target: int, at_ms: float) -> bool:
-        """Return True if the target is gray at a moment."""
+        """Return True if the target is gray at a time."""
         return any(begin <= at_ms < end for begin, end in self._windows[target])
 
 
 class PathPlan:
-    """Draw once which entries lose connections to which targets."""
+    """Draw once which pairs of entry and target lose connections."""
 
-    def __init__(self, site: Site, draw: random.Random) -> None:
+    def __init__(self, site: Site, rng: random.Random) -> None:
         self._paths = site.paths
         share = 0.0 if site.paths is None else site.paths.share
         self._bad = {
             (str(entry), target)
             for entry in range(site.entries)
             for target in range(site.targets)
-            if draw.random() < share
+            if rng.random() < share
         }
 
-    def loses(self, entry: HostId, target: int, at_ms: float, draw: float) -> bool:
-        """Return True if a connection is lost, by a draw from [0, 1)."""
+    def loses(self, entry: HostId, target: int, at_ms: float, sample: float) -> bool:
+        """Return True if a connection is lost; ``sample`` is uniform in [0, 1)."""
         paths = self._paths
         if paths is None or not paths.from_ms <= at_ms < paths.until_ms:
             return False
-        return (entry, target) in self._bad and draw < paths.loses
+        return (entry, target) in self._bad and sample < paths.loss_fraction
 
 
 class PlacingTrial:
-    """Play one service under one load with one seed."""
+    """Run one service under one load with one seed."""
 
     def __init__(
         self,
@@ -207,19 +208,19 @@
         policies: Policies = ALL_POLICIES,
     ) -> None:
         self._site = site
-        self._draw = random.Random(seed)
-        self._plan = GrayPlan(site, random.Random(seed + 1))
+        self._rng = random.Random(seed)
+        self._gray_plan = GrayPlan(site, random.Random(seed + 1))
         self._paths = PathPlan(site, random.Random(seed + 2))
         self._oracle = oracle
         self._events: list[_Event] = []
         self._number = 0
-        self._held: list[tuple[_Request, QueuedRequest, bool]] = []
+        self._queued: list[tuple[_Request, QueuedRequest, bool]] = []
         self._budget = RetryBudget(site.budget_ratio, site.budget_extra, 10_000.0)
-        # It is the only placer that the service ever had.
+        # No other placer served before this one, so its retry counts are complete.
         self._budget.set_known_since(-math.inf)
-        self.placer = ServicePlacer(FLOOR_SHARE, self._budget, policies)
+        self.placer = ServicePlacer(FLOOR_FRACTION, self._budget, policies)
         self.placer.set_targets(self._listed(), 0.0)
-        self.tallies = {work.name: Tally() for work in site.works}
+        self.tallies = {route_load.name: Tally() for route_load in site.works}
 
     def _listed(self) -> list[ListedTarget]:
         return [
@@ -235,51 +236,51 @@
         ]
 
     def run(self) -> dict[str, Tally]:
-        """Return how the requests of each route ended."""
-        for work in self._site.works:
-            self._plan_arrival(work, work.from_ms)
-        self._at(SETTLE_MS, self._settle)
+        """Run all requests and return the counts by route."""
+        for route_load in self._site.works:
+            self._schedule_arrival(route_load, route_load.from_ms)
+        self._at(TICK_MS, self._tick)
         while self._events:
             event = heapq.heappop(self._events)
-            event.act(event.at_ms)
+            event.callback(event.at_ms)
         return self.tallies
 
-    def _at(self, at_ms: float, act: Callable[[float], None]) -> None:
+    def _at(self, at_ms: float, callback: Callable[[float], None]) -> None:
         self._number += 1
-        heapq.heappush(self._events, _Event(at_ms, self._number, act))
+        heapq.heappush(self._events, _Event(at_ms, self._number, callback))
 
-    def _settle(self, now_ms: float) -> None:
+    def _tick(self, now_ms: float) -> None:
         self.placer.process_due(now_ms)
-        self._serve_held(now_ms)
+        self._serve_queued(now_ms)
         if now_ms < self._site.length_ms:
-            self._at(now_ms + SETTLE_MS, self._settle)
+            self._at(now_ms + TICK_MS, self._tick)
 
-    def _plan_arrival(self, work: Work, now_ms: float) -> None:
-        at_ms = now_ms + self._draw.expovariate(work.rate_per_s / 1e3)
-        if at_ms < min(work.until_ms, self._site.length_ms):
-            self._at(at_ms, lambda at: self._arrive(work, at))
+    def _schedule_arrival(self, route_load: Work, now_ms: float) -> None:
+        at_ms = now_ms + self._rng.expovariate(route_load.rate_per_s / 1e3)
+        if at_ms < min(route_load.until_ms, self._site.length_ms):
+            self._at(at_ms, lambda at: self._arrive(route_load, at))
 
-    def _arrive(self, work: Work, now_ms: float) -> None:
-        self._plan_arrival(work, now_ms)
-        entry = self._draw.randrange(self._site.entries)
+    def _arrive(self, route_load: Work, now_ms: float) -> None:
+        self._schedule_arrival(route_load, now_ms)
+        entry = self._rng.randrange(self._site.entries)
         domain = DomainId(str(entry % self._site.domains))
-        ends_ms = now_ms + work.deadline_ms
-        request = _Request(work, HostId(str(entry)), domain, now_ms, ends_ms)
-        self.tallies[work.name].asked += 1
-        self._ask(request, False, now_ms)
+        ends_ms = now_ms + route_load.deadline_ms
+        request = _Request(route_load, HostId(str(entry)), domain, now_ms, ends_ms)
+        self.tallies[route_load.name].asked += 1
+        self._request_placement(request, False, now_ms)
 
-    def _ask(
+    def _request_placement(
         self, request: _Request, retry: bool, now_ms: float, hedge: bool = False
     ) -> None:
-        work = request.work
+        route_load = request.route_load
         spent_ms = now_ms - request.began_ms
         placement_request = PlacementRequest(
             sender=request.entry,
             domain=request.domain,
-            route=work.name,
-            idempotent=work.idempotent,
-            priority=work.priority,
-            aim_ms=max(0.0, work.aim_ms - spent_ms),
+            route=route_load.name,
+            idempotent=route_load.idempotent,
+            priority=route_load.priority,
+            aim_ms=max(0.0, route_load.aim_ms - spent_ms),
             deadline_ms=request.ends_ms,
             retry=retry,
             hedge=hedge,
@@ -287,9 +288,9 @@
         )
         answer = self.placer.request_placement(placement_request, now_ms)
         if isinstance(answer, QueuedRequest):
-            self._held.append((request, answer, retry))
+            self._queued.append((request, answer, retry))
         else:
-            self._follow(request, answer, now_ms)
+            self._apply_answer(request, answer, now_ms)
 
     def _known_gray(self, now_ms: float) -> frozenset[TargetIdentity]:
         if not self._oracle:
@@ -297,18 +298,18 @@
         return frozenset(
             TargetIdentity(str(number))
             for number in range(self._site.targets)
-            if self._plan.gray(number, now_ms)
+            if self._gray_plan.gray(number, now_ms)
         )
 
-    def _serve_held(self, now_ms: float) -> None:
-        held, self._held = self._held, []
-        for request, waiting, retry in held:
-            if waiting.settled is None:
-                self._held.append((request, waiting, retry))
+    def _serve_queued(self, now_ms: float) -> None:
+        queued, self._queued = self._queued, []
+        for request, queued_request, retry in queued:
+            if queued_request.settled is None:
+                self._queued.append((request, queued_request, retry))
             else:
-                self._follow(request, waiting.settled, now_ms)
+                self._apply_answer(request, queued_request.settled, now_ms)
 
-    def _follow(
+    def _apply_answer(
         self,
         request: _Request,
         answer: PlacementGranted | PlacementRefused,
@@ -318,27 +319,30 @@
             self._send(request, answer, now_ms)
         elif not request.running and not request.done:
             request.done = True
-            tally = self.tallies[request.work.name]
-            if request.arrived:
+            tally = self.tallies[request.route_load.name]
+            if request.attempts_reached:
                 tally.lost += 1
             else:
                 tally.refused += 1
 
     def _send(self, request: _Request, placed: PlacementGranted, now_ms: float) -> None:
         target = placed.target.identity
-        tally = self.tallies[request.work.name]
+        tally = self.tallies[request.route_load.name]
         tally.sendings += 1
-        tally.far += placed.target.domain != request.domain
+        tally.other_domain += placed.target.domain != request.domain
         request.tried.add(target)
         request.running += 1
-        ending, span_ms = self._outcome(request, int(target), now_ms)
+        ending, span_ms = self._attempt_result(request, int(target), now_ms)
         ends_ms = min(now_ms + span_ms, request.ends_ms)
         if ends_ms < now_ms + span_ms:
             ending = AttemptOutcome.SILENT
         self._at(ends_ms, lambda at: self._ended(request, placed, ending, now_ms, at))
-        first = request.arrived == 0
-        request.arrived += ending not in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED)
-        if first and request.work.idempotent and request.work.attempts > 1:
+        first = request.attempts_reached == 0
+        request.attempts_reached += ending not in (
+            AttemptOutcome.SHED,
+            AttemptOutcome.UNREACHED,
+        )
+        if first and request.route_load.idempotent and request.route_load.attempts > 1:
             hedge_ms = now_ms + placed.hedge_after_ms
             if hedge_ms < request.ends_ms:
                 self._at(hedge_ms, lambda at: self._hedge(request, at))
@@ -347,29 +351,29 @@
         if request.done or request.running != 1:
             return
         sent = len(request.tried)
-        self._ask(request, True, now_ms, hedge=True)
-        again_ms = now_ms + HEDGE_AGAIN_MS
+        self._request_placement(request, True, now_ms, hedge=True)
+        again_ms = now_ms + HEDGE_RETRY_MS
         if len(request.tried) == sent and again_ms < request.ends_ms:
             self._at(again_ms, lambda at: self._hedge(request, at))
 
-    def _outcome(
+    def _attempt_result(
         self, request: _Request, target: int, now_ms: float
     ) -> tuple[AttemptOutcome, float]:
         paths = self._site.paths
         if paths is not None and self._paths.loses(
-            request.entry, target, now_ms, self._draw.random()
+            request.entry, target, now_ms, self._rng.random()
         ):
             return AttemptOutcome.UNREACHED, paths.connect_ms
-        return self._play(target, request.work, now_ms)
+        return self._run_attempt(target, request.route_load, now_ms)
 
-    def _play(
-        self, target: int, work: Work, now_ms: float
+    def _run_attempt(
+        self, target: int, route_load: Work, now_ms: float
     ) -> tuple[AttemptOutcome, float]:
-        work_ms = work.draw_ms(self._draw)
+        work_ms = route_load.draw_ms(self._rng)
         gray = self._site.gray
-        failed = self._draw.random() < work.error_share
-        if gray is not None and self._plan.gray(target, now_ms):
-            if self._draw.random() >= gray.fails:
+        failed = self._rng.random() < route_load.error_share
+        if gray is not None and self._gray_plan.gray(target, now_ms):
+            if self._rng.random() >= gray.fails:
                 return AttemptOutcome.ANSWERED, work_ms
             if gray.ending is AttemptOutcome.ANSWERED:
                 return AttemptOutcome.ANSWERED, work_ms * gray.slow
@@ -398,24 +402,26 @@
             now_ms - began_ms,
             now_ms,
         )
-        self._serve_held(now_ms)
+        self._serve_queued(now_ms)
         if request.done:
             return
         if ending is AttemptOutcome.ANSWERED:
             self._answered(request, now_ms)
-        elif self._again(request, ending, now_ms):
-            self._ask(
-                request, request.arrived > 0 or ending is AttemptOutcome.SHED, now_ms
+        elif self._may_retry(request, ending, now_ms):
+            self._request_placement(
+                request,
+                request.attempts_reached > 0 or ending is AttemptOutcome.SHED,
+                now_ms,
             )
         elif not request.running:
             request.done = True
             self._count_unanswered(request, ending)
 
     def _count_unanswered(self, request: _Request, ending: AttemptOutcome) -> None:
-        tally = self.tallies[request.work.name]
+        tally = self.tallies[request.route_load.name]
         if (
             ending in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED)
-            and not request.arrived
+            and not request.attempts_reached
         ):
             tally.refused += 1
         else:
@@ -423,17 +429,22 @@
 
     def _answered(self, request: _Request, now_ms: float) -> None:
         request.done = True
-        tally = self.tallies[request.work.name]
+        tally = self.tallies[request.route_load.name]
         latency_ms = now_ms - request.began_ms
         tally.latencies_ms.append(latency_ms)
-        if latency_ms <= request.work.aim_ms:
+        if latency_ms <= request.route_load.aim_ms:
             tally.in_aim += 1
         else:
             tally.late += 1
 
-    def _again(self, request: _Request, ending: AttemptOutcome, now_ms: float) -> bool:
+    def _may_retry(
+        self, request: _Request, ending: AttemptOutcome, now_ms: float
+    ) -> bool:
         if now_ms >= request.ends_ms or request.running:
             return False
         if ending in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED):
-            return len(request.tried) < TARGETS_TRIED_MAX
-        return request.work.idempotent and request.arrived < request.work.attempts
+            return len(request.tried) < MAX_TARGETS_TRIED
+        return (
+            request.route_load.idempotent
+            and request.attempts_reached < request.route_load.attempts
+        )
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -1,7 +1,7 @@
 """Measure queueing, refusal, placement, retries and hedges in virtual time.
 
-``python -m benchmarks.queueing --output FILE`` writes all figures; ``check`` holds
-a shorter run against the bounds. Only the processor time depends on the machine.
+``python -m benchmarks.queueing --output FILE`` writes all figures; ``check`` compares
+a shorter run with the bounds. Only the processor time depends on the machine.
 """
 
 import json
@@ -46,7 +46,7 @@
 _WORK_MS: Final = 50.0
 _CAPACITY_PER_S: Final = _TARGETS * _SLOTS * 1_000.0 / _WORK_MS
 _RATES_PER_S: Final = (80.0, 60.0, 40.0, 20.0, 10.0, 5.0, 2.0, 1.0)
-"""Eight customers, a few large, together 68 % of the capacity."""
+"""Rates of eight customers, a few of them large, together 68 % of the capacity."""
 _ENTRIES: Final = 40
 _HOP_MS: Final = 1.5
 _WARM_UP_MS: Final = 5_000.0
@@ -57,12 +57,12 @@
 
 
 def exponential_work(generator: random.Random) -> float:
-    """Return the work of a request, exponential with a mean of 50 ms."""
+    """Return the service time of a request, exponential with a mean of 50 ms."""
     return generator.expovariate(1.0 / _WORK_MS)
 
 
 def mixed_work(generator: random.Random) -> float:
-    """Return 20 ms of work, or for one request in ten 320 ms."""
+    """Return a service time of 20 ms, or of 320 ms for one request in ten."""
     return 320.0 if generator.random() < 0.1 else 20.0
 
 
@@ -86,11 +86,11 @@
     target_hop_ms: float = 0.0,
     kind: type[GroupCoordinator] = GroupCoordinator,
 ) -> tuple[EventLoop, HomeDriver, list[VirtualTarget]]:
-    """Return a home over healthy targets."""
+    """Return an event loop, a coordinator's driver and its healthy targets."""
     loop = EventLoop()
     targets = make_targets(loop, _TARGETS, _SLOTS, random.Random(SEED + 1))
-    home = kind.from_config(settings, ConstantFitness(), random.Random(SEED + 2))
-    driver = HomeDriver(loop, home, targets, entry_hop_ms, target_hop_ms)
+    coordinator = kind.from_config(settings, ConstantFitness(), random.Random(SEED + 2))
+    driver = HomeDriver(loop, coordinator, targets, entry_hop_ms, target_hop_ms)
     return loop, driver, targets
 
 
@@ -100,7 +100,7 @@
     fair: bool = True,
     settings: CoordinatorSettings = _SETTINGS,
 ) -> list[Job]:
-    """Serve a demand by a home; without ``fair`` all customers share one line."""
+    """Serve a demand by a coordinator; all customers share a queue unless ``fair``."""
     jobs = make_jobs(demand, seconds * 1_000.0, exponential_work, random.Random(SEED))
     customers = [job.customer for job in jobs]
     if not fair:
@@ -125,7 +125,7 @@
 
 
 def share_in_time(jobs: list[Job]) -> float:
-    """Return the part of the jobs that was answered in time."""
+    """Return the fraction of the jobs answered in time."""
     return sum(job.in_time for job in jobs) / max(len(jobs), 1)
 
 
@@ -136,7 +136,7 @@
 
 
 def describe_customers(jobs: list[Job], without: CustomerId | None) -> dict[str, float]:
-    """Return how the worst-served customer fares, and all together."""
+    """Return the results of the worst-served customer and of all together."""
     grouped = by_customer(jobs)
     chosen = [jobs for customer, jobs in grouped.items() if customer != without]
     counted = [job for group in chosen for job in group]
@@ -167,7 +167,7 @@
 def describe_waiting(
     jobs: list[Job], targets: list[VirtualTarget], hops_ms: float = 0.0
 ) -> dict[str, float]:
-    """Return what requests waited and how often a target was over its slots."""
+    """Return waiting times, overruns of targets' slots and attempts per request."""
     waits = [max(0.0, job.answered_ms - job.arrived_ms - job.work_ms) for job in jobs]
     return {
         "mean_wait_ms": sum(waits) / len(waits),
@@ -179,7 +179,7 @@
 
 
 def slot_jobs(load: float, seconds: float) -> list[Job]:
-    """Return patient jobs of equal customers at a part of the capacity."""
+    """Return jobs with long deadlines of equal customers, at a fraction of capacity."""
     rate = load * _CAPACITY_PER_S / 8.0
     demand = [Demand(CustomerId(f"c{n}"), rate, 1.0, 60_000.0) for n in range(8)]
     return make_jobs(demand, seconds * 1_000.0, exponential_work, random.Random(SEED))
@@ -191,7 +191,7 @@
     settings: CoordinatorSettings,
     target_hop_ms: float = 0.0,
 ) -> dict[str, float]:
-    """Measure waiting with a home; the hop to it is counted both ways."""
+    """Measure waiting with a coordinator; the hop to it counts in both directions."""
     jobs = slot_jobs(load, seconds)
     loop, driver, targets = make_driver(settings, target_hop_ms=target_hop_ms)
     driver.submit(jobs)
@@ -200,7 +200,7 @@
 
 
 def place_by_entries(load: float, seconds: float, queues: bool) -> dict[str, float]:
-    """Measure waiting with picks from each entry, which has no hop to a home."""
+    """Measure waiting if each entry picks targets, without a hop to a coordinator."""
     jobs = slot_jobs(load, seconds)
     loop = EventLoop()
     targets = make_targets(loop, _TARGETS, _SLOTS, random.Random(SEED + 1))
@@ -213,14 +213,14 @@
 
 
 def place_at_best(load: float, seconds: float) -> dict[str, float]:
-    """Measure waiting with one queue that knows all and costs nothing."""
+    """Measure waiting with one ideal queue that knows all slots, without any hop."""
     jobs = slot_jobs(load, seconds)
     serve_by_one_queue(jobs, _TARGETS * _SLOTS)
     return describe_waiting(jobs, [])
 
 
 def measure_slots(loads: tuple[float, ...], seconds: float) -> Figures:
-    """Compare ways of placing over slots."""
+    """Compare ways to place requests on slots."""
     figures: Figures = {}
     for load in loads:
         percent = round(load * 100)
@@ -246,7 +246,7 @@
 
 
 def measure_faults(seconds: float) -> Figures:
-    """Measure one bad target and total failure with retries and hedges on and off."""
+    """Measure one bad target and total failure, with and without retries and hedges."""
     figures: Figures = {}
     plain = CoordinatorSettings(retry_fraction=0.0, hedge_fraction=0.0, max_attempts=1)
     for way, settings in (("off", plain), ("on", CoordinatorSettings())):
@@ -270,8 +270,8 @@
     return figures
 
 
-class RecordingHome(GroupCoordinator):
-    """Keep the events of a run, so that they can be fed to another home."""
+class RecordingCoordinator(GroupCoordinator):
+    """Record the events of a run to replay them to another coordinator."""
 
     def __init__(
         self,
@@ -284,40 +284,42 @@
 
     def arrive(self, arrival: Arrival, now_ms: float) -> list[Decision]:
         """Record an arrival."""
-        self.events.append(lambda home: home.arrive(arrival, now_ms))
+        self.events.append(lambda coordinator: coordinator.arrive(arrival, now_ms))
         return super().arrive(arrival, now_ms)
 
     def ended(
         self, attempt: AttemptId, end: AttemptEnd, latency_ms: float, now_ms: float
     ) -> list[Decision]:
         """Record the end of an attempt."""
-        self.events.append(lambda home: home.ended(attempt, end, latency_ms, now_ms))
+        self.events.append(
+            lambda coordinator: coordinator.ended(attempt, end, latency_ms, now_ms)
+        )
         return super().ended(attempt, end, latency_ms, now_ms)
 
     def tick(self, now_ms: float) -> list[Decision]:
         """Record a tick."""
-        self.events.append(lambda home: home.tick(now_ms))
+        self.events.append(lambda coordinator: coordinator.tick(now_ms))
         return super().tick(now_ms)
 
 
 def measure_processor(seconds: float) -> Figures:
-    """Measure the home's own processor time by feeding recorded events again."""
+    """Measure the coordinator's own processor time by replaying recorded events."""
     figures: Figures = {}
     for name, scale in (("calm", 0.5), ("busy", 1.2), ("saturated", 3.0)):
         jobs = make_jobs(
             demands(scale), seconds * 1_000.0, exponential_work, random.Random(SEED)
         )
-        loop, driver, targets = make_driver(kind=RecordingHome)
-        recorded = cast(RecordingHome, driver.home)
+        loop, driver, targets = make_driver(kind=RecordingCoordinator)
+        recorded = cast(RecordingCoordinator, driver.coordinator)
         driver.submit(jobs)
         loop.run()
-        home = GroupCoordinator.from_config(
+        coordinator = GroupCoordinator.from_config(
             CoordinatorSettings(), ConstantFitness(), random.Random(0)
         )
-        home.set_targets([target.target for target in targets], 0.0)
+        coordinator.set_targets([target.target for target in targets], 0.0)
         began_s = time.process_time()
         for event in recorded.events:
-            event(home)
+            event(coordinator)
         spent_s = time.process_time() - began_s
         figures[f"processor_{name}"] = {
             "us_per_request": spent_s / len(jobs) * 1e6,
@@ -327,7 +329,7 @@
 
 
 def measure_checked() -> Figures:
-    """Return the figures that the bounds hold, from a run of a few seconds."""
+    """Return the figures that have bounds, from a short run."""
     return (
         measure_fairness(seconds=30.0)
         | measure_slots((0.8,), seconds=30.0)
@@ -336,7 +338,7 @@
 
 
 def check() -> list[str]:
-    """Return a line for each figure out of its bounds."""
+    """Return a line for each figure out of bounds."""
     figures = measure_checked()
     bounds: dict[str, dict[str, dict[str, float]]] = json.loads(BOUNDS.read_text())
     faults = []
--- a/benchmarks/queueing_plots.py
+++ b/benchmarks/queueing_plots.py
@@ -11,10 +11,10 @@
 
 _LOADS = (70, 80, 90, 95)
 _WAYS = {
-    "optimum": "one queue that knows all",
-    "home": "home, both hops counted",
-    "entries_shed": "picks by 40 entries, full targets shed",
-    "entries_queue": "picks by 40 entries, targets queue",
+    "optimum": "one queue that knows all slots",
+    "home": "coordinator, both hops counted",
+    "entries_shed": "40 entries pick, full targets shed",
+    "entries_queue": "40 entries pick, targets queue",
 }
 _CASES = {"five_times": "one tenant at 5x", "shortage": "capacity 70 % of demand"}
 
@@ -22,7 +22,7 @@
 
 
 def plot_waiting(figures: Figures, path: Path) -> None:
-    """Plot the mean waiting and its 99th percentile over the load."""
+    """Plot the mean and 99th percentile of waiting times by load."""
     _, axes = plt.subplots(1, 2, figsize=(10, 4))
     for axis, metric, title in (
         (axes[0], "mean_wait_ms", "mean wait (ms)"),
@@ -41,15 +41,18 @@
 
 
 def plot_worst_served(figures: Figures, path: Path) -> None:
-    """Plot the worst-served customer's part answered in time."""
+    """Plot the fraction answered in time of the worst-served customer."""
     _, axis = plt.subplots(figsize=(6, 4))
-    for offset, way, label in ((-0.2, "fifo", "one line"), (0.2, "home", "fair queue")):
+    for offset, way, label in (
+        (-0.2, "fifo", "one queue"),
+        (0.2, "home", "fair queue"),
+    ):
         places = [place + offset for place in range(len(_CASES))]
         values = [figures[f"{case}_{way}"]["worst_share_in_time"] for case in _CASES]
         bars = axis.bar(places, values, 0.4, label=label)
         axis.bar_label(bars, fmt="%.3f")
     axis.set_xticks(range(len(_CASES)), list(_CASES.values()))
-    axis.set_ylabel("worst-served customer: part in time")
+    axis.set_ylabel("worst-served customer: fraction in time")
     axis.set_ylim(0.0, 1.15)
     axis.legend(fontsize=8)
     plt.tight_layout()
@@ -58,7 +61,7 @@
 
 
 def main(source: str, folder: str) -> None:
-    """Plot the figures of a file into a folder."""
+    """Plot the figures of a JSON file into a folder."""
     figures: Figures = json.loads(Path(source).read_text())
     plot_waiting(figures, Path(folder) / "home-waiting.png")
     plot_worst_served(figures, Path(folder) / "home-worst-served.png")
--- a/benchmarks/queueing_ways.py
+++ b/benchmarks/queueing_ways.py
@@ -1,4 +1,4 @@
-"""Place requests in the ways that a home is weighed against."""
+"""Place requests without a group coordinator, as baselines for it."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -23,9 +23,10 @@
 
 
 class EntryPicker:
-    """Pick at each entry the better of two targets by what it sent itself.
+    """Pick at each entry the less loaded of two random targets.
 
-    A target that is full queues the request, or sheds it and the entry tries again.
+    An entry counts only its own outstanding requests. A full target queues a request,
+    or sheds it and the entry retries.
     """
 
     def __init__(
@@ -40,12 +41,12 @@
         self._targets = targets
         self._sent = [[0] * len(targets) for _ in range(entries)]
         self._hop_ms = target_hop_ms
-        self._random = generator
+        self._rng = generator
 
     def submit(self, jobs: Iterable[Job]) -> None:
-        """Let each job arrive at an entry by chance."""
+        """Schedule the arrival of each job at a random entry."""
         for job in jobs:
-            entry = self._random.randrange(len(self._sent))
+            entry = self._rng.randrange(len(self._sent))
             self._loop.at(
                 job.arrived_ms,
                 partial(self._send, job, entry),
@@ -53,7 +54,7 @@
 
     def _send(self, job: Job, entry: int) -> None:
         counts = self._sent[entry]
-        pair = self._random.sample(range(len(counts)), 2)
+        pair = self._rng.sample(range(len(counts)), 2)
         index = min(pair, key=lambda each: counts[each])
         counts[index] += 1
         job.sent += 1
--- a/benchmarks/result_table.py
+++ b/benchmarks/result_table.py
@@ -1,4 +1,4 @@
-"""Write the rows of a benchmark as a table that can be compared line by line."""
+"""Write the rows of a benchmark as a CSV table that diffs line by line."""
 
 import csv
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 
 def write_table(kind: type[Any], rows: Iterable[Any], path: Path) -> None:
-    """Write dataclass rows under the names of their fields, and print the table."""
+    """Write dataclass rows with their field names as header, and print the table."""
     with path.open("w", newline="") as file:
         writer = csv.writer(file, lineterminator="\n")
         writer.writerow(field.name for field in fields(kind))
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,8 +1,8 @@
-"""Measure refusals within rate against the entries that a customer uses.
+"""Measure refusals within rate by the number of entries that a customer uses.
 
-Run with ``python -m benchmarks.shares --output FILE``; figures come from virtual time
-and do not depend on the machine. Three ways are weighed: one home a customer, fixed
-fractions without loans, and conserved shares.
+Run ``python -m benchmarks.shares --output FILE``; all time is virtual, and figures do
+not depend on the machine. Three ways are compared: a single token bucket per customer,
+fixed fractions without loans, and conserved shares.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 
 
 def steady_cases() -> Iterator[Case]:
-    """Return the cases without any fault."""
+    """Return the cases without a fault."""
     for name in CUSTOMERS:
         for way in Way:
             for entries in ENTRIES:
@@ -61,7 +61,9 @@
     """Return the figures of one case."""
     seen = run(case)
     spread = "skewed" if case.skewed else "holders" if case.at_holders else "even"
-    recovered_ms = max(0.0, seen.last_wrong_ms - 60_000.0) if case.lose else 0.0
+    recovered_ms = (
+        max(0.0, seen.last_wrongly_refused_ms - 60_000.0) if case.lose else 0.0
+    )
     return [
         case.customer,
         case.way.value,
@@ -79,7 +81,7 @@
 
 
 def check() -> list[str]:
-    """Return the bounds that are passed; needs under 20 s."""
+    """Return the figures that exceed the committed bounds; takes less than 20 s."""
     bounds = json.loads(BOUNDS.read_text())
     findings = []
     for name, bound in bounds["refused_within_rate_per_1000"].items():
--- a/benchmarks/shares_fleet.py
+++ b/benchmarks/shares_fleet.py
@@ -1,4 +1,4 @@
-"""Run the ledgers of one fleet in virtual time, with loans that take a round trip."""
+"""Run the share ledgers of one fleet in virtual time; loans take a round trip."""
 
 import heapq
 import math
@@ -38,22 +38,22 @@
 
 
 class Way(Enum):
-    """Name a way to keep a rate over the fleet."""
+    """Name a way to enforce a customer's rate over the fleet."""
 
-    HOME = "one home"
+    SINGLE_BUCKET = "one home"
     FRACTIONS = "fixed fractions"
     SHARES = "conserved shares"
 
 
 class Arrivals(Enum):
-    """Name how requests come."""
+    """Name an arrival process of requests."""
 
     POISSON = "poisson"
     BURSTY = "bursty"
 
 
 class Loss(Enum):
-    """Name what happens after the first holder is killed."""
+    """Name what happens after the first holder of shares is killed."""
 
     REPLACED = "replaced by a new view"
     FROZEN = "outage: view frozen"
@@ -78,11 +78,11 @@
 
 @dataclass
 class Result:
-    """Count what one customer saw.
+    """Count the results of one customer.
 
-    ``within`` are the requests that one ideal bucket of the whole rate and burst
-    would have admitted; ``wrongly`` are those of them that were refused, less those
-    of the same instant that were admitted in their place.
+    ``within`` counts the requests that one ideal bucket of the whole rate and burst
+    admits; ``wrongly_refused`` those of them that were refused, less those of the same
+    instant that were admitted in their place.
     """
 
     within: int = 0
@@ -92,46 +92,46 @@
     spent: int = 0
     slowest_ms: float = 0.0
 
-    def judge(self, begun_ms: float, is_within: bool, is_spent: bool) -> None:
-        """Count one request that came at a time."""
+    def count(self, arrived_ms: float, is_within: bool, is_spent: bool) -> None:
+        """Count one request by its arrival time."""
         self.spent += is_spent
         if is_within != is_spent:
             change = is_within - is_spent
-            self.balance[begun_ms] = self.balance.get(begun_ms, 0) + change
+            self.balance[arrived_ms] = self.balance.get(arrived_ms, 0) + change
 
     @property
-    def wrongly(self) -> int:
-        """Return how many were refused though within the rate."""
+    def wrongly_refused(self) -> int:
+        """Return the number of requests refused though within the rate."""
         return sum(max(0, each) for each in self.balance.values())
 
     @property
     def net_per_mille(self) -> float:
-        """Return by how much fewer were admitted than one ideal bucket admits."""
+        """Return by how many per 1,000 one ideal bucket admits more requests."""
         return 1000.0 * (self.within - self.spent) / max(1, self.within)
 
     @property
-    def last_wrong_ms(self) -> float:
-        """Return when the last of those came."""
+    def last_wrongly_refused_ms(self) -> float:
+        """Return when the last request refused though within the rate arrived."""
         wrong = [at_ms for at_ms, each in self.balance.items() if each > 0]
         return max(wrong, default=0.0)
 
     @property
     def per_mille(self) -> float:
-        """Return refusals within rate for each 1,000 requests within rate."""
-        return 1000.0 * self.wrongly / max(1, self.within)
+        """Return the refusals within rate per 1,000 requests within rate."""
+        return 1000.0 * self.wrongly_refused / max(1, self.within)
 
 
 class IdealBucket:
-    """Admit what one place that sees all requests would admit."""
+    """Admit what one token bucket that sees all requests admits."""
 
-    def __init__(self, customer: Customer, part: float = 1.0) -> None:
-        self._rate_per_ms = part * customer.rate_per_s / 1000.0
-        self._burst = part * customer.burst
+    def __init__(self, customer: Customer, fraction: float = 1.0) -> None:
+        self._rate_per_ms = fraction * customer.rate_per_s / 1000.0
+        self._burst = fraction * customer.burst
         self._tokens = self._burst
         self._at_ms = 0.0
 
     def admits(self, now_ms: float) -> bool:
-        """Take a token if there is one."""
+        """Consume a token; return False if there is none."""
         refilled = self._rate_per_ms * (now_ms - self._at_ms)
         self._tokens = min(self._burst, self._tokens + refilled)
         self._at_ms = now_ms
@@ -159,22 +159,22 @@
 
 
 @dataclass(frozen=True)
-class Question:
-    """Carry a question for tokens on behalf of one request."""
+class LoanRequest:
+    """Request a loan of tokens on behalf of one request of a customer."""
 
     entry: MemberId
     lender: MemberId
     missing: float
-    asked_ms: float
-    begun_ms: float
+    sent_ms: float
+    arrived_ms: float
     is_within: bool
     gather: bool = False
     gathered: int = 0
-    tries: int = 1
+    attempts: int = 1
 
 
 class Fleet:
-    """Hold the ledgers of 40 nodes and carry their questions."""
+    """Hold the ledgers of 40 nodes and deliver their loan requests."""
 
     def __init__(self, case: Case) -> None:
         self.customer = CUSTOMERS[case.customer]
@@ -191,7 +191,7 @@
             self.ledgers[member.member] = ledger
         self.holders = self.ledgers[self.members[0].member].holders(self.customer)
         self.entries = self._entries(case.at_holders)
-        self.dead: set[MemberId] = set()
+        self.killed_members: set[MemberId] = set()
         self.result = Result()
         self._ideal = IdealBucket(self.customer)
         self._due: list[tuple[float, int, Callable[[float], None]]] = []
@@ -200,8 +200,8 @@
     def _entries(self, at_holders: bool) -> list[MemberId]:
         """Return the entries in the order in which the customer uses them.
 
-        Callers who follow the entry answers come to the holders first; others come
-        anywhere, for which the worst is a place without a share.
+        Callers that ask which entries to use come to the holders first. Others use any
+        entry; the worst case for them is one without a share.
         """
         others = [each.member for each in self.members]
         others = [each for each in others if each not in self.holders]
@@ -209,115 +209,131 @@
             return [*self.holders, *others]
         return [*others, *self.holders]
 
-    def lose(self, loss: Loss, now_ms: float) -> None:
+    def kill_first_holder(self, loss: Loss, now_ms: float) -> None:
         """Kill the first holder; callers use the others from now on."""
-        lost = self.holders[0]
-        self.dead.add(lost)
-        self.entries.remove(lost)
+        killed = self.holders[0]
+        self.killed_members.add(killed)
+        self.entries.remove(killed)
         if loss is Loss.REPLACED:
-            self.later(now_ms + DETECTION_MS, self._replace)
+            self.call_at(now_ms + DETECTION_MS, self._replace)
         elif loss is Loss.TAKEN_OVER:
-            self.later(now_ms + DETECTION_MS, self._take_over)
+            self.call_at(now_ms + DETECTION_MS, self._take_over)
 
     def _replace(self, now_ms: float) -> None:
-        kept = [each for each in self.members if each.member not in self.dead]
+        kept = [each for each in self.members if each.member not in self.killed_members]
         for ledger in self.ledgers.values():
             ledger.set_view(ViewNumber(2), kept, now_ms)
             ledger.activate(ViewNumber(2), now_ms)
 
     def _take_over(self, now_ms: float) -> None:
         for ledger in self.ledgers.values():
-            for lost in self.dead:
-                ledger.take_over_from(lost, now_ms)
+            for killed in self.killed_members:
+                ledger.take_over_from(killed, now_ms)
 
-    def ask(self, now_ms: float, entry: MemberId) -> None:
-        """Let a request arrive."""
+    def arrive(self, now_ms: float, entry: MemberId) -> None:
+        """Process the arrival of a request at an entry."""
         self.run_until(now_ms)
         self.result.requests += 1
         is_within = self._ideal.admits(now_ms)
         self.result.within += is_within
-        about = Question(entry, entry, 0.0, now_ms, now_ms, is_within)
-        self._spend(now_ms, about)
+        loan_request = LoanRequest(entry, entry, 0.0, now_ms, now_ms, is_within)
+        self._spend(now_ms, loan_request)
 
-    def _spend(self, now_ms: float, about: Question) -> None:
-        ledger = self.ledgers[about.entry]
+    def _spend(self, now_ms: float, loan_request: LoanRequest) -> None:
+        ledger = self.ledgers[loan_request.entry]
         answer = ledger.spend(self.customer.customer, math.inf, now_ms)
-        self._settle(now_ms, about, answer)
+        self._settle(now_ms, loan_request, answer)
 
-    def _settle(self, now_ms: float, about: Question, answer: SpendResult) -> None:
+    def _settle(
+        self, now_ms: float, loan_request: LoanRequest, answer: SpendResult
+    ) -> None:
         if isinstance(answer, Borrow):
             lender = answer.holders[0]
-            asked = replace(
-                about,
+            sent_request = replace(
+                loan_request,
                 gathered=0,
                 lender=lender,
                 missing=answer.missing,
-                asked_ms=now_ms,
+                sent_ms=now_ms,
                 gather=answer.gather,
             )
             self.result.messages += 1
-            self._send(now_ms, asked)
+            self._send(now_ms, sent_request)
         elif isinstance(answer, Spent):
-            self.result.judge(about.begun_ms, about.is_within, True)
-            self._top_up(now_ms, about.entry)
-            taken_ms = now_ms - about.begun_ms
-            self.result.slowest_ms = max(self.result.slowest_ms, taken_ms)
-        elif isinstance(answer, OverRate) and answer.waits(about.begun_ms, about.tries):
-            again = replace(about, tries=about.tries + 1)
+            self.result.count(loan_request.arrived_ms, loan_request.is_within, True)
+            self._top_up(now_ms, loan_request.entry)
+            latency_ms = now_ms - loan_request.arrived_ms
+            self.result.slowest_ms = max(self.result.slowest_ms, latency_ms)
+        elif isinstance(answer, OverRate) and answer.waits(
+            loan_request.arrived_ms, loan_request.attempts
+        ):
+            retried = replace(loan_request, attempts=loan_request.attempts + 1)
             due_ms = max(now_ms, answer.retry_at_ms)
-            self.later(due_ms, lambda at_ms: self._spend(at_ms, again))
+            self.call_at(due_ms, lambda at_ms: self._spend(at_ms, retried))
         else:
-            self.result.judge(about.begun_ms, about.is_within, False)
+            self.result.count(loan_request.arrived_ms, loan_request.is_within, False)
 
-    def _send(self, now_ms: float, asked: Question) -> None:
-        if asked.lender in self.dead:
-            self.later(now_ms + TIMEOUT_MS, lambda at_ms: self._lose(at_ms, asked))
+    def _send(self, now_ms: float, sent_request: LoanRequest) -> None:
+        if sent_request.lender in self.killed_members:
+            self.call_at(
+                now_ms + TIMEOUT_MS, lambda at_ms: self._time_out(at_ms, sent_request)
+            )
         else:
-            self.later(now_ms + HOP_MS, lambda at_ms: self._lend(at_ms, asked))
+            self.call_at(now_ms + HOP_MS, lambda at_ms: self._lend(at_ms, sent_request))
 
-    def _lend(self, now_ms: float, asked: Question) -> None:
+    def _lend(self, now_ms: float, sent_request: LoanRequest) -> None:
         name = self.customer.customer
-        lender = self.ledgers[asked.lender]
-        loan = lender.lend(name, asked.missing, math.inf, now_ms)
-        if loan.amount == 0.0 and asked.gather and asked.gathered < MAX_GATHERS:
-            found = lender.gather(name, asked.missing, now_ms)
+        lender = self.ledgers[sent_request.lender]
+        loan = lender.lend(name, sent_request.missing, math.inf, now_ms)
+        if (
+            loan.amount == 0.0
+            and sent_request.gather
+            and sent_request.gathered < MAX_GATHERS
+        ):
+            found = lender.gather(name, sent_request.missing, now_ms)
             if found is not None:
-                self._gather(now_ms, asked, found)
+                self._gather(now_ms, sent_request, found)
                 return
-        self.later(now_ms + HOP_MS, lambda at_ms: self._credit(at_ms, asked, loan))
-        if asked.gather:
-            self._top_up_later(now_ms, asked.lender)
+        self.call_at(
+            now_ms + HOP_MS, lambda at_ms: self._credit(at_ms, sent_request, loan)
+        )
+        if sent_request.gather:
+            self._top_up_later(now_ms, sent_request.lender)
 
-    def _gather(self, now_ms: float, asked: Question, found: Borrow) -> None:
-        """Let a lender ask another holder first, then decide again."""
+    def _gather(self, now_ms: float, sent_request: LoanRequest, found: Borrow) -> None:
+        """Let the lender borrow from another holder, then decide on the loan again."""
         name = self.customer.customer
         source = found.holders[0]
         self.result.messages += 1
 
         def lend(at_ms: float) -> None:
             loan = self.ledgers[source].lend(name, found.missing, math.inf, at_ms)
-            self.later(at_ms + HOP_MS, lambda back_ms: credit(back_ms, loan))
+            self.call_at(at_ms + HOP_MS, lambda back_ms: credit(back_ms, loan))
 
         def credit(back_ms: float, loan: Loan) -> None:
-            ledger = self.ledgers[asked.lender]
+            ledger = self.ledgers[sent_request.lender]
             ledger.credit_loan(name, loan, source, now_ms, back_ms)
-            self._lend(back_ms, replace(asked, gathered=asked.gathered + 1))
+            self._lend(
+                back_ms, replace(sent_request, gathered=sent_request.gathered + 1)
+            )
 
         def lose(back_ms: float) -> None:
-            self.ledgers[asked.lender].record_timeout(name, source, back_ms)
-            self._lend(back_ms, replace(asked, gathered=asked.gathered + 1))
+            self.ledgers[sent_request.lender].record_timeout(name, source, back_ms)
+            self._lend(
+                back_ms, replace(sent_request, gathered=sent_request.gathered + 1)
+            )
 
-        if source in self.dead:
-            self.later(now_ms + TIMEOUT_MS, lose)
+        if source in self.killed_members:
+            self.call_at(now_ms + TIMEOUT_MS, lose)
         else:
-            self.later(now_ms + HOP_MS, lend)
+            self.call_at(now_ms + HOP_MS, lend)
 
     def _top_up_later(self, now_ms: float, holder: MemberId) -> None:
-        self.later(now_ms + TOP_UP_MS, lambda at_ms: self._top_up(at_ms, holder))
+        self.call_at(now_ms + TOP_UP_MS, lambda at_ms: self._top_up(at_ms, holder))
 
     def _top_up(self, now_ms: float, holder: MemberId) -> None:
         answer = self.ledgers[holder].top_up(self.customer.customer, now_ms)
-        if answer is None or answer.holders[0] in self.dead:
+        if answer is None or answer.holders[0] in self.killed_members:
             return
         self.result.messages += 1
         lender = answer.holders[0]
@@ -325,7 +341,7 @@
 
         def lend(at_ms: float) -> None:
             loan = self.ledgers[lender].lend(name, answer.missing, math.inf, at_ms)
-            self.later(
+            self.call_at(
                 at_ms + HOP_MS,
                 lambda back_ms: credit_loan(back_ms, loan),
             )
@@ -334,67 +350,69 @@
             self.ledgers[holder].credit_loan(name, loan, lender, now_ms, back_ms)
             self._top_up_later(back_ms, holder)
 
-        self.later(now_ms + HOP_MS, lend)
+        self.call_at(now_ms + HOP_MS, lend)
 
-    def _credit(self, now_ms: float, asked: Question, loan: Loan) -> None:
+    def _credit(self, now_ms: float, sent_request: LoanRequest, loan: Loan) -> None:
         name = self.customer.customer
-        answer = self.ledgers[asked.entry].credit_and_spend(
-            name, loan, asked.lender, asked.asked_ms, now_ms
+        answer = self.ledgers[sent_request.entry].credit_and_spend(
+            name, loan, sent_request.lender, sent_request.sent_ms, now_ms
         )
-        self._settle(now_ms, asked, answer)
+        self._settle(now_ms, sent_request, answer)
 
-    def _lose(self, now_ms: float, asked: Question) -> None:
+    def _time_out(self, now_ms: float, sent_request: LoanRequest) -> None:
         name = self.customer.customer
-        ledger = self.ledgers[asked.entry]
-        answer = ledger.lost(name, asked.lender, asked.asked_ms, now_ms)
-        self._settle(now_ms, asked, answer)
+        ledger = self.ledgers[sent_request.entry]
+        answer = ledger.lost(name, sent_request.lender, sent_request.sent_ms, now_ms)
+        self._settle(now_ms, sent_request, answer)
 
-    def later(self, at_ms: float, action: Callable[[float], None]) -> None:
-        """Let something happen at a time."""
+    def call_at(self, at_ms: float, action: Callable[[float], None]) -> None:
+        """Schedule an action at a time."""
         self._number += 1
         heapq.heappush(self._due, (at_ms, self._number, action))
 
     def run_until(self, now_ms: float) -> None:
-        """Let happen what is due."""
+        """Run all actions that are due."""
         while self._due and self._due[0][0] <= now_ms:
             at_ms, _, action = heapq.heappop(self._due)
             action(at_ms)
 
 
 class Baseline:
-    """Keep the rate in one home, or in equal parts at every node."""
+    """Keep the rate in one bucket, or in equal fractions at every node."""
 
     def __init__(self, case: Case) -> None:
         customer = CUSTOMERS[case.customer]
-        self._is_home = case.way is Way.HOME
-        parts = 1 if self._is_home else NODES
-        self._buckets = [IdealBucket(customer, 1 / parts) for _ in range(parts)]
+        self._is_single = case.way is Way.SINGLE_BUCKET
+        bucket_count = 1 if self._is_single else NODES
+        self._buckets = [
+            IdealBucket(customer, 1 / bucket_count) for _ in range(bucket_count)
+        ]
         self._ideal = IdealBucket(customer)
         self.result = Result()
 
-    def ask(self, now_ms: float, entry: int) -> None:
-        """Let a request arrive; the home is none of the first entries."""
+    def arrive(self, now_ms: float, entry: int) -> None:
+        """Process the arrival of a request; the last entry has the single bucket."""
         is_within = self._ideal.admits(now_ms)
         self.result.requests += 1
         self.result.within += is_within
-        self.result.messages += self._is_home and entry != NODES - 1
-        is_spent = self._buckets[0 if self._is_home else entry].admits(now_ms)
-        self.result.judge(now_ms, is_within, is_spent)
+        self.result.messages += self._is_single and entry != NODES - 1
+        is_spent = self._buckets[0 if self._is_single else entry].admits(now_ms)
+        self.result.count(now_ms, is_within, is_spent)
 
 
 def run(case: Case) -> Result:
-    """Return what the customer of one case saw."""
+    """Return the results of one case."""
     rng = Random(f"{case.customer} {case.seed}")
     if case.way is not Way.SHARES:
         baseline = Baseline(case)
         for now_ms, entry in arrivals(case, rng):
-            baseline.ask(now_ms, entry)
+            baseline.arrive(now_ms, entry)
         return baseline.result
     fleet = Fleet(case)
     if case.lose is not None:
         fleet.run_until(WARM_MS)
-        fleet.lose(case.lose, WARM_MS)
+        fleet.kill_first_holder(case.lose, WARM_MS)
     for now_ms, entry in arrivals(case, rng):
-        fleet.ask(now_ms, fleet.entries[entry])
+        fleet.arrive(now_ms, fleet.entries[entry])
     fleet.run_until(math.inf)
     return fleet.result
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,7 +1,7 @@
-"""Measure requests a second and added latency through both hops, on real processes.
+"""Measure requests per second and added latency over both hops, on real processes.
 
-The machine's noise moves every figure: direct and fleet are measured in turns in the
-same run, and only their ratio and difference are worth comparing.
+Noise of the machine affects all figures. Direct calls and calls through the fleet
+alternate in one run, and only their ratio and difference are comparable.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Point:
-    """Hold the latencies of one way at one number of callers, in ms."""
+    """Hold the figures of one way to call the service, at one number of callers."""
 
     way: str
     callers: int
@@ -62,13 +62,13 @@
     latencies_ms: list[float] = []
     until_s = time.perf_counter() + seconds
 
-    async def one() -> None:
+    async def call_repeatedly() -> None:
         while (began_s := time.perf_counter()) < until_s:
             await call()
             latencies_ms.append((time.perf_counter() - began_s) * 1e3)
 
     began_s = time.perf_counter()
-    await asyncio.gather(*(one() for _ in range(callers)))
+    await asyncio.gather(*(call_repeatedly() for _ in range(callers)))
     return latencies_ms, time.perf_counter() - began_s
 
 
@@ -83,7 +83,7 @@
     return await _closed_loop(call, callers, seconds)
 
 
-async def _home(fleet: Fleet, session: aiohttp.ClientSession) -> int:
+async def _find_coordinator(fleet: Fleet, session: aiohttp.ClientSession) -> int:
     async with session.get(
         f"{fleet.nodes[0].caller_url}/{SERVICE}/x", headers=HEADERS
     ) as response:
@@ -91,7 +91,7 @@
     for number, node in enumerate(fleet.nodes):
         if (await fleet.status(node))["groups"]:
             return number
-    raise RuntimeError("no node is the home")
+    raise RuntimeError("no node is the coordinator of the group")
 
 
 async def _run(callers: tuple[int, ...], seconds: float) -> list[Point]:
@@ -102,23 +102,23 @@
         aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session,
     ):
         await _set_up(fleet)
-        home = await _home(fleet, session)
-        far = fleet.nodes[(home + 1) % 3].caller_url
+        coordinator = await _find_coordinator(fleet, session)
+        other_url = fleet.nodes[(coordinator + 1) % 3].caller_url
         ways = {
             "direct": f"{fleet.targets[0].url}/{SERVICE}/x",
-            "entry is the home": f"{fleet.nodes[home].caller_url}/{SERVICE}/x",
-            "both hops": f"{far}/{SERVICE}/x",
+            "entry is the home": f"{fleet.nodes[coordinator].caller_url}/{SERVICE}/x",
+            "both hops": f"{other_url}/{SERVICE}/x",
         }
         for count in callers:
             found: dict[str, list[float]] = {way: [] for way in ways}
             took_s = dict.fromkeys(ways, 0.0)
             for _ in range(ROUNDS):
                 for way, url in ways.items():
-                    some_ms, some_s = await _measure(
+                    round_latencies_ms, round_s = await _measure(
                         session, url, count, seconds / ROUNDS
                     )
-                    found[way] += some_ms
-                    took_s[way] += some_s
+                    found[way] += round_latencies_ms
+                    took_s[way] += round_s
             points += [
                 Point(
                     way,
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -1,8 +1,8 @@
-"""Drive the deciding core in virtual time.
+"""Drive the deciding code of a group coordinator in virtual time.
 
-An event heap, targets that run, shed, fail, slow down or fall silent, and a driver
-that carries out a home's decisions. Everything is seeded, so that two runs give the
-same figures on any machine.
+An event loop, targets that run, shed, fail, slow down or stop answering, and a driver
+that executes a coordinator's decisions. Everything is seeded: runs give the same
+figures on any machine.
 """
 
 import random
@@ -37,7 +37,7 @@
 
 
 class EventLoop:
-    """Run callbacks in the order of their virtual times."""
+    """Run callbacks in order of their virtual times."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
@@ -45,23 +45,23 @@
         self._sequence = count()
 
     def at(self, when_ms: float, callback: Callable[[], None]) -> None:
-        """Run the callback at a time, now if that has passed."""
+        """Schedule the callback at a time, or now if that has passed."""
         due_ms = max(when_ms, self.now_ms)
         heappush(self._heap, (due_ms, next(self._sequence), callback))
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Run the callback after a delay."""
+        """Schedule the callback after a delay."""
         self.at(self.now_ms + delay_ms, callback)
 
     def run(self, until_ms: float = float("inf")) -> None:
-        """Run until nothing is left or the time is reached."""
+        """Run until no callback is left or the time is reached."""
         while self._heap and self._heap[0][0] <= until_ms:
             self.now_ms, _, callback = heappop(self._heap)
             callback()
 
 
 class Verdict(Enum):
-    """Tell what a caller was answered."""
+    """Name the result of a request for its caller."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """Follow one request from its caller's side."""
+    """Hold one request as seen by its caller."""
 
     request: RequestId
     customer: CustomerId
@@ -96,7 +96,7 @@
 
     @property
     def wait_ms(self) -> float:
-        """Return how long the work waited before it first began."""
+        """Return the time from arrival until the request first began to run."""
         assert self.work_began_ms is not None
         return self.work_began_ms - self.arrived_ms
 
@@ -105,12 +105,12 @@
 class _Work:
     job: Job
     report: Callable[[AttemptEnd], None]
-    over: bool = False
+    finished: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class VirtualTarget:
-    """Run work on a number of slots, with the faults that the fields name."""
+    """Run requests on a number of slots, with the faults that the fields name."""
 
     loop: EventLoop
     target: Target
@@ -126,7 +126,7 @@
     waiting: deque[_Work] = field(default_factory=deque)
 
     def accept(self, job: Job, report: Callable[[AttemptEnd], None]) -> _Work:
-        """Begin, queue or shed a request; ``report`` hears how it ended."""
+        """Begin, queue or shed a request; ``report`` is called with how it ended."""
         work = _Work(job, report)
         if self.busy < self.slots:
             self._begin(work)
@@ -135,16 +135,16 @@
         if self.queues_inside:
             self.waiting.append(work)
         else:
-            work.over = True
+            work.finished = True
             report(AttemptEnd.SHED)
         return work
 
     def cancel(self, work: _Work) -> None:
-        """Abort work and free its slot."""
+        """Cancel a queued or running request and free its slot."""
         if work in self.waiting:
             self.waiting.remove(work)
-        elif not work.over:
-            work.over = True
+        elif not work.finished:
+            work.finished = True
             self._free()
 
     def _begin(self, work: _Work) -> None:
@@ -160,9 +160,9 @@
             self.loop.after(work_ms, lambda: self._end(work, end))
 
     def _end(self, work: _Work, end: AttemptEnd) -> None:
-        if work.over:
+        if work.finished:
             return
-        work.over = True
+        work.finished = True
         self._free()
         work.report(end)
 
@@ -174,37 +174,39 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Sent:
+class _Attempt:
     job: Job
     sent_ms: float
     target: VirtualTarget
     work: _Work | None = None
-    over: bool = False
+    finished: bool = False
 
 
 class HomeDriver:
-    """Carry out a home's decisions over virtual targets."""
+    """Execute a coordinator's decisions on virtual targets."""
 
     def __init__(
         self,
         loop: EventLoop,
-        home: GroupCoordinator,
+        coordinator: GroupCoordinator,
         targets: Iterable[VirtualTarget],
         entry_hop_ms: float = 0.0,
         target_hop_ms: float = 0.0,
     ) -> None:
         self._loop = loop
-        self.home = home
+        self.coordinator = coordinator
         self.targets = {each.target.target: each for each in targets}
         self._entry_hop_ms = entry_hop_ms
         self._target_hop_ms = target_hop_ms
         self._jobs: dict[RequestId, Job] = {}
-        self._sent: dict[AttemptId, _Sent] = {}
+        self._sent: dict[AttemptId, _Attempt] = {}
         self._tick_at_ms: float | None = None
-        home.set_targets([each.target for each in self.targets.values()], loop.now_ms)
+        coordinator.set_targets(
+            [each.target for each in self.targets.values()], loop.now_ms
+        )
 
     def submit(self, jobs: Iterable[Job]) -> None:
-        """Let each job arrive at its time."""
+        """Schedule the arrival of each job."""
         for job in jobs:
             self._loop.at(
                 job.arrived_ms + self._entry_hop_ms,
@@ -221,10 +223,10 @@
             idempotent=job.idempotent,
             may_hedge=job.idempotent,
         )
-        self.carry_out(self.home.arrive(arrival, self._loop.now_ms))
+        self.carry_out(self.coordinator.arrive(arrival, self._loop.now_ms))
 
     def carry_out(self, decisions: Iterable[Decision]) -> None:
-        """Carry out decisions and keep the home's next tick."""
+        """Execute decisions and schedule the coordinator's next tick."""
         for decision in decisions:
             if isinstance(decision, Dispatch):
                 self._dispatch(decision)
@@ -232,7 +234,7 @@
                 self._cancel(decision.attempt)
             else:
                 self._answer(decision)
-        due_ms = self.home.next_tick_ms()
+        due_ms = self.coordinator.next_tick_ms()
         if due_ms is not None and (self._tick_at_ms or float("inf")) > due_ms:
             self._tick_at_ms = due_ms
             self._loop.at(due_ms, lambda: self._tick(due_ms))
@@ -241,19 +243,19 @@
         if self._tick_at_ms != due_ms:
             return
         self._tick_at_ms = None
-        self.carry_out(self.home.tick(self._loop.now_ms))
+        self.carry_out(self.coordinator.tick(self._loop.now_ms))
 
     def _dispatch(self, decision: Dispatch) -> None:
         job = self._jobs[decision.request]
         job.sent += 1
         attempt = decision.attempt
-        sent = _Sent(job, self._loop.now_ms, self.targets[decision.target])
+        sent = _Attempt(job, self._loop.now_ms, self.targets[decision.target])
         self._sent[attempt] = sent
-        self._loop.after(self._target_hop_ms, lambda: self._reach(attempt, sent))
+        self._loop.after(self._target_hop_ms, lambda: self._deliver(attempt, sent))
         self._loop.at(decision.deadline_ms, lambda: self._time_out(attempt, sent))
 
-    def _reach(self, attempt: AttemptId, sent: _Sent) -> None:
-        if sent.over:
+    def _deliver(self, attempt: AttemptId, sent: _Attempt) -> None:
+        if sent.finished:
             return
 
         def report(end: AttemptEnd) -> None:
@@ -263,23 +265,23 @@
 
         sent.work = sent.target.accept(sent.job, report)
 
-    def _ended(self, attempt: AttemptId, sent: _Sent, end: AttemptEnd) -> None:
-        if sent.over:
+    def _ended(self, attempt: AttemptId, sent: _Attempt, end: AttemptEnd) -> None:
+        if sent.finished:
             return
-        sent.over = True
+        sent.finished = True
         self._sent.pop(attempt, None)
         now_ms = self._loop.now_ms
         latency_ms = now_ms - sent.sent_ms
-        self.carry_out(self.home.ended(attempt, end, latency_ms, now_ms))
+        self.carry_out(self.coordinator.ended(attempt, end, latency_ms, now_ms))
 
-    def _time_out(self, attempt: AttemptId, sent: _Sent) -> None:
-        if not sent.over:
+    def _time_out(self, attempt: AttemptId, sent: _Attempt) -> None:
+        if not sent.finished:
             self._cancel(attempt)
 
     def _cancel(self, attempt: AttemptId) -> None:
         sent = self._sent.pop(attempt, None)
         if sent is None:
-            return  # it has ended, and the report is on its way
+            return  # it has ended, and the report is already scheduled
         if sent.work is not None:
             sent.target.cancel(sent.work)
         self._loop.after(0.0, lambda: self._ended(attempt, sent, AttemptEnd.SILENT))
@@ -301,7 +303,7 @@
 
 
 class ConstantFitness:
-    """Trust every target."""
+    """Give all targets full weight and no trials."""
 
     def weight(self, target: TargetId, now_ms: float) -> float:
         """Return 1."""
@@ -373,7 +375,7 @@
 
 
 def quantile(values: Iterable[float], fraction: float) -> float:
-    """Return a quantile by rank, 0 without values."""
+    """Return a quantile by rank; 0 if there are no values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
