--- a/benchmarks/gray_targets.py
+++ b/benchmarks/gray_targets.py
@@ -233,17 +233,17 @@
         return self.outcome
 
     @staticmethod
-    def _gray(at_ms: float) -> int | None:
+    def _gray_target(at_ms: float) -> int | None:
         window, into_ms = divmod(at_ms, 2 * WINDOW_MS)
         return None if into_ms < WINDOW_MS else int(window) % TARGETS
 
     def _send(self, at_ms: float) -> None:
         entry = self._rng.randrange(ENTRIES)
-        place = self._detector.place(entry, at_ms)
+        placement = self._detector.place(entry, at_ms)
         self._record_ejections(entry, at_ms)
-        if place is None:
+        if placement is None:
             return
-        target, grant = place
+        target, grant = placement
         attempt_outcome, span_ms = self._run_attempt(target, at_ms)
         self._number += 1
         end = End(
@@ -259,7 +259,10 @@
 
     def _run_attempt(self, target: int, at_ms: float) -> tuple[AttemptOutcome, float]:
         work_ms = WORK_MS * self._rng.lognormvariate(-(SPREAD**2) / 2, SPREAD)
-        if target == self._gray(at_ms) and self._rng.random() < self._fault.share:
+        if (
+            target == self._gray_target(at_ms)
+            and self._rng.random() < self._fault.share
+        ):
             self.outcome.lost += 1
             window, into_ms = divmod(at_ms, 2 * WINDOW_MS)
             self._last_lost_ms[int(window)] = into_ms - WINDOW_MS
@@ -281,7 +284,7 @@
 
     def _record_ejections(self, entry: int, at_ms: float) -> None:
         window = int(at_ms // (2 * WINDOW_MS))
-        gray = self._gray(at_ms)
+        gray = self._gray_target(at_ms)
         for target in self._detector.ejected(entry):
             recent = (window % TARGETS, (window - 1) % TARGETS)
             if target == gray:
