--- a/examples/caller.py
+++ b/examples/caller.py
@@ -1,8 +1,8 @@
-"""Call a crocusspindle fleet: ask for addresses, keep them, heed the outcome.
+"""Call a crocusspindle fleet: look up addresses, cache them, act on the outcome.
 
 Usage: python3 examples/caller.py NODE_URL KEY_FILE PATH [BODY]
 
-It uses the standard library only, to be read or copied in any language.
+It uses the standard library only, so that it is easy to port to any language.
 """
 
 import json
@@ -16,13 +16,13 @@
 from pathlib import Path
 from typing import Any
 
-WHERE = "/.well-known/crocusspindle/where"
-TRIES = 4
+WHERE_PATH = "/.well-known/crocusspindle/where"
+MAX_ATTEMPTS = 4
 
 
 @dataclass
-class Answer:
-    """Hold an answer and what became of the request."""
+class Response:
+    """Hold a response and the outcome of the request."""
 
     status: int
     headers: Message
@@ -30,19 +30,19 @@
 
     @property
     def outcome(self) -> str:
-        """Return ran, not-run or unknown."""
+        """Return ``ran``, ``not-run`` or ``unknown``."""
         return self.headers.get("Crocusspindle-Outcome", "unknown")
 
     @property
-    def final(self) -> bool:
-        """Return True if sending again would not tell more."""
+    def is_final(self) -> bool:
+        """Return True if a retry would not change what is known."""
         if self.outcome == "not-run":
             return self.status not in (429, 503)
         return self.outcome == "ran" or self.status not in (409, 503, 504)
 
     @property
     def retry_after_s(self) -> float:
-        """Return when to come back."""
+        """Return the delay before the next attempt."""
         wait_ms = self.headers.get("Crocusspindle-Retry-After-Ms")
         return float(wait_ms) / 1000 if wait_ms else 1.0
 
@@ -54,51 +54,53 @@
     first_url: str
     key: str
     addresses: list[str] = field(default_factory=list)
-    ask_again_at_s: float = 0.0
+    refresh_at_s: float = 0.0
 
     def send(
         self, method: str, path: str, body: bytes | None, timeout_ms: int = 5000
-    ) -> Answer | None:
-        """Send until it is known what became of the request, or tries end.
+    ) -> Response | None:
+        """Retry until the outcome is known or the attempts are used up.
 
-        None means that no answer came and that the outcome is unknown.
+        None means that no response arrived and that the outcome is unknown.
         """
-        # One name for the operation, whatever the number of tries: with it the
-        # fleet runs the operation once and answers each try alike.
+        # All attempts carry the same key, by which the fleet runs the operation once
+        # and gives each attempt the same response.
         operation = {} if method == "GET" else {"Idempotency-Key": str(uuid.uuid4())}
-        answer = None
-        for number in range(TRIES):
-            address = self._address(number)
-            answer = self._once(address, method, path, body, timeout_ms, operation)
-            if answer is None:
-                self.ask_again_at_s = 0.0
-            elif answer.final:
-                return answer
+        response = None
+        for attempt in range(MAX_ATTEMPTS):
+            address = self._address(attempt)
+            response = self._send_once(
+                address, method, path, body, timeout_ms, operation
+            )
+            if response is None:
+                self.refresh_at_s = 0.0
+            elif response.is_final:
+                return response
             else:
-                time.sleep(answer.retry_after_s)
-        return answer
-
-    def _address(self, number: int) -> str:
-        if time.monotonic() >= self.ask_again_at_s:
-            self._ask()
-        return self.addresses[number % len(self.addresses)]
-
-    def _ask(self) -> None:
-        known = [*self.addresses, self.first_url]
-        for url in known:
-            answer = self._once(url, "GET", WHERE, None, 2000, {})
-            if answer is not None and answer.status == 200:
-                found: dict[str, Any] = json.loads(answer.body)
+                time.sleep(response.retry_after_s)
+        return response
+
+    def _address(self, attempt: int) -> str:
+        if time.monotonic() >= self.refresh_at_s:
+            self._refresh_addresses()
+        return self.addresses[attempt % len(self.addresses)]
+
+    def _refresh_addresses(self) -> None:
+        candidates = [*self.addresses, self.first_url]
+        for url in candidates:
+            response = self._send_once(url, "GET", WHERE_PATH, None, 2000, {})
+            if response is not None and response.status == 200:
+                listing: dict[str, Any] = json.loads(response.body)
                 scheme = self.first_url.partition("://")[0]
                 self.addresses = [
-                    f"{scheme}://{one['address']}" for one in found["addresses"]
+                    f"{scheme}://{entry['address']}" for entry in listing["addresses"]
                 ]
-                self.ask_again_at_s = time.monotonic() + found["max_age_ms"] / 1000
+                self.refresh_at_s = time.monotonic() + listing["max_age_ms"] / 1000
                 if self.addresses:
                     return
-        raise SystemExit(f"none of {known} told where to go")
+        raise SystemExit(f"none of {candidates} returned any addresses")
 
-    def _once(
+    def _send_once(
         self,
         url: str,
         method: str,
@@ -106,7 +108,7 @@
         body: bytes | None,
         timeout_ms: int,
         headers: dict[str, str],
-    ) -> Answer | None:
+    ) -> Response | None:
         headers = {
             **headers,
             "Authorization": f"Bearer {self.key}",
@@ -114,34 +116,36 @@
         }
         request = urllib.request.Request(url + path, body, headers, method=method)
         try:
-            with urllib.request.urlopen(request, timeout=timeout_ms / 1000 + 1) as got:
-                return Answer(got.status, got.headers, got.read())
+            with urllib.request.urlopen(
+                request, timeout=timeout_ms / 1000 + 1
+            ) as reply:
+                return Response(reply.status, reply.headers, reply.read())
         except urllib.error.HTTPError as error:
-            return Answer(error.code, error.headers, error.read())
+            return Response(error.code, error.headers, error.read())
         except OSError as error:
             if isinstance(getattr(error, "reason", error), ConnectionRefusedError):
-                return _not_sent()
+                return _not_run_response()
             return None
 
 
-def _not_sent() -> Answer:
+def _not_run_response() -> Response:
     headers = Message()
     headers["Crocusspindle-Outcome"] = "not-run"
     headers["Crocusspindle-Retry-After-Ms"] = "0"
-    return Answer(503, headers, b"")
+    return Response(503, headers, b"")
 
 
 def main(url: str, key_file: str, path: str, body: str | None = None) -> int:
-    """Send one request and print what became of it."""
+    """Send one request and print its outcome."""
     caller = Caller(url.rstrip("/"), Path(key_file).read_text().strip())
     method = "GET" if body is None else "POST"
-    answer = caller.send(method, path, None if body is None else body.encode())
-    if answer is None:
+    response = caller.send(method, path, None if body is None else body.encode())
+    if response is None:
         print("outcome: unknown, no answer came")
         return 2
-    print(f"outcome: {answer.outcome}, status {answer.status}")
-    print(answer.body.decode(errors="replace"))
-    return 0 if answer.status < 400 else 1
+    print(f"outcome: {response.outcome}, status {response.status}")
+    print(response.body.decode(errors="replace"))
+    return 0 if response.status < 400 else 1
 
 
 if __name__ == "__main__":
--- a/examples/prepare.py
+++ b/examples/prepare.py
@@ -1,4 +1,4 @@
-"""Write settings, keys and first tickets of a three-node fleet on one machine.
+"""Write settings, keys and initial tickets of a three-node fleet on one machine.
 
 Usage: python3 examples/prepare.py FOLDER
 """
@@ -61,7 +61,7 @@
 
 
 def prepare(folder: Path) -> None:
-    """Write all files."""
+    """Write all files into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     digests = {name: new_key(folder, name) for name in ("ops", "hall", "club")}
     new_key(folder, "fleet")
--- a/scripts/build_binary.py
+++ b/scripts/build_binary.py
@@ -1,4 +1,4 @@
-"""Build the binary out of the locked distributions of this environment."""
+"""Build the binary from the locked distributions of this environment."""
 
 import hashlib
 import importlib.util
@@ -21,13 +21,13 @@
 
 sys.exit(start(Path(sys.path[0])))
 """
-LEFT_OUT_NAMES = {"RECORD", "INSTALLER", "REQUESTED", "direct_url.json"}
-LEFT_OUT_SUFFIXES = {".pyc", ".pyx", ".pxd", ".pyi", ".c", ".h", ".proto", ".pth"}
-LEFT_OUT_FOLDERS = {"tests", "testing", "__pycache__"}
+EXCLUDED_NAMES = {"RECORD", "INSTALLER", "REQUESTED", "direct_url.json"}
+EXCLUDED_SUFFIXES = {".pyc", ".pyx", ".pxd", ".pyi", ".c", ".h", ".proto", ".pth"}
+EXCLUDED_FOLDERS = {"tests", "testing", "__pycache__"}
 
 
 @dataclass(frozen=True)
-class Part:
+class BundledFile:
     """Hold one file of the binary."""
 
     name: str
@@ -35,98 +35,105 @@
     native: bool = False
 
 
-def locked() -> dict[str, str]:
-    """Return the locked versions by name."""
+def locked_versions() -> dict[str, str]:
+    """Return the locked version of each distribution by name."""
     lines = (ROOT / "requirements.lock").read_text().split()
     return dict(line.split("==") for line in lines)
 
 
-def parts_of(name: str, version: str) -> list[Part]:
-    """Return the files of one distribution, which must have the locked version."""
+def distribution_files(name: str, version: str) -> list[BundledFile]:
+    """Return the files of one distribution; exit if its version is not the locked one."""
     distribution = metadata.distribution(name)
     if distribution.version != version:
-        sys.exit(f"{name} is {distribution.version}, the lock says {version}")
-    paths = [path for path in distribution.files or [] if _wanted(path)]
+        sys.exit(f"{name} is {distribution.version}, the lock file has {version}")
+    paths = [path for path in distribution.files or [] if _is_included(path)]
     native = any(path.suffix == ".so" for path in paths)
     return [
-        Part(path.as_posix(), path.locate().read_bytes(), native and _loaded(path))
+        BundledFile(
+            path.as_posix(), path.locate().read_bytes(), native and _is_importable(path)
+        )
         for path in paths
     ]
 
 
-def own_parts() -> list[Part]:
+def own_files() -> list[BundledFile]:
     """Return the files of crocusspindle itself."""
     source = ROOT / "src"
-    files = (source / "crocusspindle").rglob("*.py")
-    return [Part(f.relative_to(source).as_posix(), f.read_bytes()) for f in files]
+    sources = (source / "crocusspindle").rglob("*.py")
+    return [
+        BundledFile(f.relative_to(source).as_posix(), f.read_bytes()) for f in sources
+    ]
 
 
-def compiled(part: Part) -> Part:
-    """Return the byte code of a module, which holds no time and no path of here."""
-    code = compile(part.content, part.name, "exec", dont_inherit=True)
-    digest = importlib.util.source_hash(part.content)
+def compiled_module(file: BundledFile) -> BundledFile:
+    """Return a module's bytecode, free of timestamps and local paths."""
+    code = compile(file.content, file.name, "exec", dont_inherit=True)
+    digest = importlib.util.source_hash(file.content)
     pyc = importlib._bootstrap_external._code_to_hash_pyc(code, digest, checked=False)
-    path = PurePosixPath(part.name)
-    if part.native:
+    path = PurePosixPath(file.name)
+    if file.native:
         name = path.parent / "__pycache__" / f"{path.stem}.cpython-311.pyc"
     else:
         name = path.with_suffix(".pyc")
-    return Part(str(name), bytes(pyc), part.native)
+    return BundledFile(str(name), bytes(pyc), file.native)
 
 
 def build() -> bytes:
     """Return the binary."""
-    parts = own_parts()
-    for name, version in sorted(locked().items()):
-        parts += parts_of(name, version)
-    parts.sort(key=lambda part: part.name)
-    parts += [compiled(part) for part in parts if part.name.endswith(".py")]
-    native = "".join(f"{part.name}\n" for part in parts if part.native)
-    parts += [Part("NATIVE", native.encode()), Part("__main__.py", MAIN.encode())]
-    parts.append(Part("DIGEST", _digest(parts).encode()))
-    return SHEBANG + _zipped(sorted(parts, key=lambda part: part.name))
-
-
-def _digest(parts: list[Part]) -> str:
-    whole = hashlib.sha256()
-    for part in sorted(parts, key=lambda part: part.name):
-        whole.update(part.name.encode() + b"\0")
-        whole.update(hashlib.sha256(part.content).digest())
-    return whole.hexdigest()
-
-
-def _zipped(parts: list[Part]) -> bytes:
+    files = own_files()
+    for name, version in sorted(locked_versions().items()):
+        files += distribution_files(name, version)
+    files.sort(key=lambda file: file.name)
+    files += [compiled_module(file) for file in files if file.name.endswith(".py")]
+    native = "".join(f"{file.name}\n" for file in files if file.native)
+    files += [
+        BundledFile("NATIVE", native.encode()),
+        BundledFile("__main__.py", MAIN.encode()),
+    ]
+    files.append(BundledFile("DIGEST", _digest(files).encode()))
+    return SHEBANG + _zip_archive(sorted(files, key=lambda file: file.name))
+
+
+def _digest(files: list[BundledFile]) -> str:
+    combined = hashlib.sha256()
+    for file in sorted(files, key=lambda file: file.name):
+        combined.update(file.name.encode() + b"\0")
+        combined.update(hashlib.sha256(file.content).digest())
+    return combined.hexdigest()
+
+
+def _zip_archive(files: list[BundledFile]) -> bytes:
     buffer = io.BytesIO()
     with zipfile.ZipFile(buffer, "w", zipfile.ZIP_DEFLATED, compresslevel=6) as bundle:
-        for folder in _folders(parts):
+        for folder in _folders(files):
             entry = zipfile.ZipInfo(folder, FIXED_TIME)
             entry.create_system = 3
             entry.external_attr = 0o40755 << 16
             bundle.writestr(entry, b"")
-        for part in parts:
-            entry = zipfile.ZipInfo(part.name, FIXED_TIME)
+        for file in files:
+            entry = zipfile.ZipInfo(file.name, FIXED_TIME)
             entry.compress_type = zipfile.ZIP_DEFLATED
             entry.create_system = 3
             entry.external_attr = 0o644 << 16
-            bundle.writestr(entry, part.content)
+            bundle.writestr(entry, file.content)
     return buffer.getvalue()
 
 
-def _folders(parts: list[Part]) -> list[str]:
-    """Return all folders: without their entries namespace packages are not found."""
-    parents = {str(up) for part in parts for up in PurePosixPath(part.name).parents}
+def _folders(files: list[BundledFile]) -> list[str]:
+    """Return all folders; namespace packages are found only if they have an entry."""
+    parents = {str(up) for file in files for up in PurePosixPath(file.name).parents}
     return sorted(f"{parent}/" for parent in parents - {"."})
 
 
-def _wanted(path: metadata.PackagePath) -> bool:
-    if path.parts[0] == ".." or path.name in LEFT_OUT_NAMES:
+def _is_included(path: metadata.PackagePath) -> bool:
+    if path.parts[0] == ".." or path.name in EXCLUDED_NAMES:
         return False
-    if path.suffix in LEFT_OUT_SUFFIXES or re.match(r"_testcapi", path.name):
+    if path.suffix in EXCLUDED_SUFFIXES or re.match(r"_testcapi", path.name):
         return False
-    return not LEFT_OUT_FOLDERS.intersection(path.parts)
+    return not EXCLUDED_FOLDERS.intersection(path.parts)
 
 
-def _loaded(path: metadata.PackagePath) -> bool:
+def _is_importable(path: metadata.PackagePath) -> bool:
     return not path.parts[0].endswith(".dist-info")
 
 
