--- a/src/crocusspindle_standins/callers.py
+++ b/src/crocusspindle_standins/callers.py
@@ -1,4 +1,4 @@
-"""Call a fleet as customers do, and judge every answer."""
+"""Call a fleet as its customers do, and check every response."""
 
 import asyncio
 import hashlib
@@ -13,14 +13,14 @@
 
 import aiohttp
 
-WHERE: Final = "/.well-known/crocusspindle/where"
+WHERE_PATH: Final = "/.well-known/crocusspindle/where"
 OUTCOME: Final = "Crocusspindle-Outcome"
 RETRY_AFTER_MS: Final = "Crocusspindle-Retry-After-Ms"
-ANSWER_S: Final = 15.0
+RESPONSE_TIMEOUT_S: Final = 15.0
 
 
 class Verdict(Enum):
-    """Tell what a caller got."""
+    """Classify what a caller received."""
 
     ANSWERED = "answered"
     WRONG = "wrong"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class CustomerPlan:
-    """Describe what one customer sends; rates are requests a second."""
+    """Describe one customer's load; rates are in requests per second."""
 
     customer: str
     key: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Sent:
-    """Record one request: when it was sent and ended, and what came of it.
+    """Record one request: its start, its end and its result.
 
     Times are seconds of the caller's monotonic clock.
     """
@@ -65,22 +65,22 @@
 
     @property
     def latency_ms(self) -> float:
-        """Return the time from sending to the end of the answer."""
+        """Return the time from the send to the end of the response."""
         return (self.ended_s - self.sent_s) * 1e3
 
 
 @dataclass
 class Addresses:
-    """Keep the system's answer to where callers connect, for as long as allowed."""
+    """Cache the addresses that the fleet returned, until they expire."""
 
-    first: tuple[str, ...]
-    known: tuple[str, ...] = ()
+    initial: tuple[str, ...]
+    current: tuple[str, ...] = ()
     until_s: float = 0.0
 
 
 @dataclass
 class Caller:
-    """Send one customer's requests in a steady random stream."""
+    """Send one customer's requests as a Poisson process."""
 
     plan: CustomerPlan
     session: aiohttp.ClientSession
@@ -91,7 +91,7 @@
     _number: int = 0
 
     async def run(self, until_s: float) -> None:
-        """Send until a time, then wait for the last answers."""
+        """Send until a time, then wait for the remaining responses."""
         next_s = time.monotonic()
         while True:
             next_s += self.generator.expovariate(self.plan.sends_per_s)
@@ -103,27 +103,27 @@
 
     def _start(self) -> None:
         self._number += 1
-        plan, draw = self.plan, self.generator
-        is_post = draw.random() < plan.post_fraction
+        plan, rng = self.plan, self.generator
+        is_post = rng.random() < plan.post_fraction
         services = (plan.post_services or plan.services) if is_post else plan.services
         request = f"{plan.customer}-{plan.key[:4]}-{self._number}"
-        call = self.call(request, draw.choice(services), "POST" if is_post else "GET")
+        call = self.call(request, rng.choice(services), "POST" if is_post else "GET")
         task = asyncio.create_task(call)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def call(self, request: str, service: str, method: str) -> None:
-        """Send one request and record what came of it.
+        """Send one request and record the result.
 
-        An address that refuses the connection has not seen the request; the next
-        one is tried, as the callers' guide says.
+        An address that refuses the connection has not received the request, so the
+        next one is tried, as the callers' guide requires.
         """
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         found = (Verdict.NO_ANSWER, 0, "no address")
         lost = False
-        for address in (await self._where())[:3]:
+        for address in (await self._look_up_addresses())[:3]:
             try:
-                async with asyncio.timeout(ANSWER_S):
+                async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                     found = await self._send(address, request, service, method)
                 break
             except aiohttp.ClientConnectorError:
@@ -135,8 +135,8 @@
                     break
         verdict, status, reason = found
         if lost and verdict in (Verdict.OVER_RATE, Verdict.REFUSED):
-            # "Not run" speaks of the sending that it answers. The one before broke
-            # off without a word and may have run.
+            # "Not run" covers only the attempt that it answers. The previous attempt
+            # ended without a response and may have run.
             verdict = Verdict.UNKNOWN
         self.records.append(
             Sent(
@@ -145,7 +145,7 @@
                 key=self.plan.key,
                 service=service,
                 method=method,
-                sent_s=began_s,
+                sent_s=started_s,
                 ended_s=time.monotonic(),
                 verdict=verdict,
                 status=status,
@@ -170,9 +170,9 @@
             method, url, headers=headers, data=body
         ) as response:
             content = await response.read()
-            return self._judge(response, content, request, service, body)
+            return self._evaluate(response, content, request, service, body)
 
-    def _judge(
+    def _evaluate(
         self,
         response: aiohttp.ClientResponse,
         content: bytes,
@@ -201,18 +201,18 @@
             return Verdict.WRONG, response.status, content.decode()[:200]
         return Verdict.ANSWERED, response.status, ""
 
-    async def _where(self) -> tuple[str, ...]:
-        """Ask the system which addresses to use, and keep the answer a while."""
+    async def _look_up_addresses(self) -> tuple[str, ...]:
+        """Return the fleet's addresses, from the cache until it expires."""
         now_s = time.monotonic()
-        if now_s < self.addresses.until_s and self.addresses.known:
-            return self.addresses.known
+        if now_s < self.addresses.until_s and self.addresses.current:
+            return self.addresses.current
         headers = {"Authorization": f"Bearer {self.plan.key}"}
-        for address in (*self.addresses.known, *self.addresses.first):
+        for address in (*self.addresses.current, *self.addresses.initial):
             try:
                 async with (
                     asyncio.timeout(2),
                     self.session.get(
-                        f"http://{address}{WHERE}", headers=headers
+                        f"http://{address}{WHERE_PATH}", headers=headers
                     ) as response,
                 ):
                     content: Any = await response.json()
@@ -221,22 +221,26 @@
             except (TimeoutError, aiohttp.ClientError, OSError, ValueError):
                 continue
             found = tuple(entry["address"] for entry in content["addresses"])
-            self.addresses.known = found
+            self.addresses.current = found
             self.addresses.until_s = now_s + content["max_age_ms"] / 1e3
             return found
-        return self.addresses.known or self.addresses.first
+        return self.addresses.current or self.addresses.initial
 
 
 def most_over_rate(
     records: list[Sent], executed: Collection[str], rate_per_s: float, burst: int
 ) -> float:
-    """Return by how many requests a customer got over its bound, at most.
+    """Return the largest number of requests by which a customer exceeded its bound.
 
-    A request that a target executed was admitted between its sending and its end.
-    So those that lie whole inside of a window were admitted in it: more than burst +
-    rate x length of them break the promise, whatever the delays were.
+    A request that a target executed was admitted between its send and its end. So
+    requests that lie entirely within a window were admitted in it: more than burst +
+    rate x length of them violate the guarantee, whatever the delays were.
     """
-    ran = [(one.sent_s, one.ended_s) for one in records if one.request in executed]
+    ran = [
+        (record.sent_s, record.ended_s)
+        for record in records
+        if record.request in executed
+    ]
     ends = sorted(ran, key=lambda times: times[1])
     worst = float("-inf")
     for start in sorted({sent for sent, _ in ran}):
--- a/src/crocusspindle_standins/calling.py
+++ b/src/crocusspindle_standins/calling.py
@@ -1,4 +1,4 @@
-"""Open sessions for callers that know of each of their own sendings."""
+"""Open sessions that make exactly one attempt for each request."""
 
 from typing import Any
 
@@ -8,10 +8,10 @@
 def calling_session(**options: Any) -> aiohttp.ClientSession:
     """Return a session that sends each request once.
 
-    The library sends a GET again by itself when a kept connection breaks, as it does
-    when a node is killed. The judge then takes a refusal of the second sending, "not
-    run", for a word on the first, which ran; or a refused connection of the second for
-    proof that the first was never seen.
+    The library silently retries a GET when a kept-alive connection breaks, as it does
+    when a node is killed. The checks would then apply a "not run" response of the
+    second attempt to the first, which ran, or take a refused connection of the second
+    attempt as evidence that no node received the first.
     """
     session = aiohttp.ClientSession(**options)
     session._retry_connection = False
--- a/src/crocusspindle_standins/demo.py
+++ b/src/crocusspindle_standins/demo.py
@@ -1,4 +1,4 @@
-"""Show a fleet at work while it is broken, and judge what its callers got."""
+"""Run a fleet under load, inject faults, and check what its callers received."""
 
 import asyncio
 import json
@@ -31,15 +31,17 @@
 from crocusspindle_standins.fleet import Fleet, sha256
 
 SEED: Final = 20261202
-SHARES_OPEN_S: Final = 30.0
+SHARES_OPEN_TIMEOUT_S: Final = 30.0
 SHARES_FILL_S: Final = 2.0
-"""Every burst is two seconds of its customer's rate."""
-SIDE_BY_SIDE: Final = 200
+"""Each customer's burst is two seconds of its rate."""
+COMPARED_REQUESTS: Final = 200
 
 
 @dataclass
-class Events:
-    """Note when the demonstration broke what; seconds of the wall clock."""
+class InjectedFaults:
+    """Record which faults were injected and when.
+
+    ``gray_unix_s`` is Unix time, ``withdrawn_s`` the monotonic clock."""
 
     gray_target: str = ""
     gray_unix_s: float = 0.0
@@ -49,14 +51,14 @@
 
 
 @dataclass
-class SideBySide:
-    """Hold latencies of the same request, direct and through the fleet, in ms."""
+class LatencyComparison:
+    """Hold latencies of the same request sent directly and through the fleet."""
 
     direct_ms: list[float] = field(default_factory=list)
     fleet_ms: list[float] = field(default_factory=list)
 
     def added_ms(self, percent: float) -> float:
-        """Return what the fleet adds at a percentile."""
+        """Return the latency that the fleet adds at a percentile."""
         return _percentile(self.fleet_ms, percent) - _percentile(
             self.direct_ms, percent
         )
@@ -70,31 +72,31 @@
 
 
 class Demo:
-    """Run one demonstration from its set-up to its report."""
+    """Run one demonstration from setup to report."""
 
     def __init__(self, deployment: Deployment, duration_s: float, fleet: Fleet) -> None:
         self.deployment = deployment
         self.duration_s = duration_s
         self.fleet = fleet
-        self.events = Events()
+        self.injected_faults = InjectedFaults()
         self.callers: list[Caller] = []
-        self.side_by_side = SideBySide()
+        self.comparison = LatencyComparison()
 
-    def say(self, text: str) -> None:
-        """Print a line for people."""
+    def print_line(self, text: str) -> None:
+        """Print a line of progress."""
         print(text, flush=True)
 
     async def run(self) -> dict[str, Any]:
-        """Return the measured fields."""
+        """Run all steps and return the measured values."""
         await self._set_up()
         async with calling_session(connector=aiohttp.TCPConnector(limit=0)) as session:
-            await self._compare(session)
+            await self._compare_latencies(session)
             await self._load(session)
         return await self._report()
 
     async def _set_up(self) -> None:
         fleet, deployment = self.fleet, self.deployment
-        self.say(
+        self.print_line(
             f"{len(fleet.nodes)} nodes in {deployment.layout.domains} failure domains, "
             f"{len(fleet.targets)} targets"
         )
@@ -128,56 +130,56 @@
             approvals={service: dict.fromkeys(names, approved) for service in services},
         )
         await fleet.until_in_force(number, fleet.nodes)
-        self.say(f"tickets 1 to {number} are in force on every node")
+        self.print_line(f"tickets 1 to {number} are in force on every node")
         await self._until_shares_open()
 
     async def _until_shares_open(self) -> None:
-        """Wait until every share may be spent and has had time to fill."""
-        async with asyncio.timeout(SHARES_OPEN_S):
+        """Wait until every share is open and has had time to fill."""
+        async with asyncio.timeout(SHARES_OPEN_TIMEOUT_S):
             for node in self.fleet.nodes:
                 while (await self.fleet.status(node))["shares"]["waiting"]:
                     await asyncio.sleep(0.2)
         await asyncio.sleep(SHARES_FILL_S)
 
-    async def _compare(self, session: aiohttp.ClientSession) -> None:
-        """Send the same request in turn to a target and through the fleet."""
+    async def _compare_latencies(self, session: aiohttp.ClientSession) -> None:
+        """Send the same request alternately to a target and through the fleet."""
         target = next(one for one in self.fleet.targets if one.service == ECHO)
         direct = f"{target.url}/{ECHO}/x"
         headers = {"Authorization": "Bearer observer-key"}
         nodes = self.fleet.nodes
-        for number in range(SIDE_BY_SIDE):
+        for number in range(COMPARED_REQUESTS):
             through = f"{nodes[number % len(nodes)].caller_url}/{ECHO}/x"
-            self.side_by_side.direct_ms.append(await _timed(session, direct, {}))
-            self.side_by_side.fleet_ms.append(await _timed(session, through, headers))
+            self.comparison.direct_ms.append(await _timed(session, direct, {}))
+            self.comparison.fleet_ms.append(await _timed(session, through, headers))
             await asyncio.sleep(0.002)
 
     async def _load(self, session: aiohttp.ClientSession) -> None:
         first = tuple(f"127.0.0.1:{node.caller_port}" for node in self.fleet.nodes)
-        generator = random.Random(SEED)
+        rng = random.Random(SEED)
         for plan in self.deployment.customers:
             seeds = list(first)
-            generator.shuffle(seeds)
+            rng.shuffle(seeds)
             self.callers.append(
                 Caller(
                     plan,
                     session,
                     Addresses(tuple(seeds)),
-                    random.Random(generator.random()),
+                    random.Random(rng.random()),
                 )
             )
         until_s = time.monotonic() + self.duration_s
-        breaking = asyncio.create_task(self._break_things())
+        injection = asyncio.create_task(self._inject_faults())
         await asyncio.gather(*(caller.run(until_s) for caller in self.callers))
-        await breaking
+        await injection
 
-    async def _break_things(self) -> None:
+    async def _inject_faults(self) -> None:
         step_s = self.duration_s / 5
         await asyncio.sleep(step_s)
         await self._withdraw_key()
         await asyncio.sleep(step_s)
         self._kill_node()
         await asyncio.sleep(step_s / 2)
-        await self._turn_gray()
+        await self._make_target_gray()
 
     async def _withdraw_key(self) -> None:
         plan = self.deployment.customers[1]
@@ -185,60 +187,62 @@
             self.fleet.nodes[0],
             keys={sha256(plan.key): {"customer": plan.customer, "state": "withdrawn"}},
         )
-        self.events.withdrawn_key = plan.key
-        self.events.withdrawn_s = time.monotonic()
-        self.say(f"the key of {plan.customer} is withdrawn")
+        self.injected_faults.withdrawn_key = plan.key
+        self.injected_faults.withdrawn_s = time.monotonic()
+        self.print_line(f"the key of {plan.customer} is withdrawn")
 
     def _kill_node(self) -> None:
         node = self.fleet.nodes[-1]
         self.fleet.kill(node)
-        self.events.killed = node.name
-        self.say(f"{node.name} is killed")
+        self.injected_faults.killed = node.name
+        self.print_line(f"{node.name} is killed")
 
-    async def _turn_gray(self) -> None:
+    async def _make_target_gray(self) -> None:
         service = self.deployment.gray_service
         target = next(one for one in self.fleet.targets if one.service == service)
         await self.fleet.target_fault(target, fail_fraction=0.3)
-        self.events.gray_target = target.name
-        self.events.gray_unix_s = time.time()
-        self.say(f"{target.name} of {service} fails 30 % of its work, health check ok")
+        self.injected_faults.gray_target = target.name
+        self.injected_faults.gray_unix_s = time.time()
+        self.print_line(
+            f"{target.name} of {service} fails 30 % of its work, but passes health checks"
+        )
 
     async def _report(self) -> dict[str, Any]:
         records = [one for caller in self.callers for one in caller.records]
         verdicts = Counter(one.verdict for one in records)
-        judged = await self.fleet.executions()
+        execution_reports = await self.fleet.executions()
         ran = Counter[str]()
         operations = Counter[str]()
-        for one in judged:
+        for one in execution_reports:
             ran.update(one["requests"])
             operations.update(one["operations"])
-        misled = [
+        refused_but_ran = [
             one
             for one in records
             if one.verdict in (Verdict.REFUSED, Verdict.OVER_RATE) and ran[one.request]
         ]
-        keys_seen = sum(one["keys_seen"] for one in judged)
+        keys_seen = sum(one["keys_seen"] for one in execution_reports)
         detected_ms, false_ejections = self._ejections()
         latencies = [r.latency_ms for r in records if r.verdict is Verdict.ANSWERED]
         for one in records:
             if one.verdict is Verdict.WRONG:
-                self.say(f"wrong: {one}")
-        for one in misled:
-            self.say(f"refused as not run, but ran: {one}")
+                self.print_line(f"wrong: {one}")
+        for one in refused_but_ran:
+            self.print_line(f"refused as not run, but ran: {one}")
         refusals = Counter(r.reason for r in records if r.verdict is Verdict.REFUSED)
-        self.say(f"refusals by reason: {dict(refusals)}")
+        self.print_line(f"refusals by reason: {dict(refusals)}")
         lost = Counter(r.reason for r in records if r.verdict is Verdict.NO_ANSWER)
-        self.say(f"callers without an answer: {dict(lost)}")
-        self.say(
-            f"the killed node's part: {self.events.killed}; p50 direct "
-            f"{statistics.median(self.side_by_side.direct_ms):.2f} ms, through the "
-            f"fleet {statistics.median(self.side_by_side.fleet_ms):.2f} ms; p99 added "
-            f"by both hops {self.side_by_side.added_ms(99):.2f} ms"
+        self.print_line(f"requests without a response: {dict(lost)}")
+        self.print_line(
+            f"killed node: {self.injected_faults.killed}; p50 direct "
+            f"{statistics.median(self.comparison.direct_ms):.2f} ms, through the "
+            f"fleet {statistics.median(self.comparison.fleet_ms):.2f} ms; p99 added "
+            f"by both hops {self.comparison.added_ms(99):.2f} ms"
         )
         return {
             "requests": len(records),
             "answered": verdicts[Verdict.ANSWERED],
-            "wrong": verdicts[Verdict.WRONG] + len(misled) + keys_seen,
+            "wrong": verdicts[Verdict.WRONG] + len(refused_but_ran) + keys_seen,
             "refused_within_rate": self._within_rate(records),
             "refused_over_rate": self._over_rate_refusals(records),
             "refused_key": sum(r.reason == "key" for r in records),
@@ -248,37 +252,39 @@
             "unknown": verdicts[Verdict.UNKNOWN] + verdicts[Verdict.NO_ANSWER],
             "ran_twice": sum(count > 1 for count in operations.values()),
             "over_rate": self._over_rate(ran),
-            "key_withdrawn_to_last_served_ms": self._last_served_ms(records),
+            "key_withdrawn_to_last_served_ms": self._last_served_after_withdrawal_ms(
+                records
+            ),
             "gray_detected_ms": detected_ms,
             "false_ejections": false_ejections,
             "p50_ms": round(_percentile(latencies, 50), 2),
             "p99_ms": round(_percentile(latencies, 99), 2),
-            "added_p50_ms": round(self.side_by_side.added_ms(50), 2),
-            "added_p99_ms": round(self.side_by_side.added_ms(99), 2),
+            "added_p50_ms": round(self.comparison.added_ms(50), 2),
+            "added_p99_ms": round(self.comparison.added_ms(99), 2),
             "worst_customer_answered": self._worst_customer(),
         }
 
-    def _well_behaved(self) -> list[Caller]:
+    def _callers_within_rate(self) -> list[Caller]:
         return [
             caller
             for caller in self.callers
             if caller.plan.sends_per_s <= caller.plan.rate_per_s
-            and caller.plan.key != self.events.withdrawn_key
+            and caller.plan.key != self.injected_faults.withdrawn_key
         ]
 
     def _worst_customer(self) -> float:
-        """Return the least answered fraction of a customer within its rate."""
+        """Return the lowest answered fraction of any customer within its rate."""
         return round(
             min(
                 sum(r.verdict is Verdict.ANSWERED for r in caller.records)
                 / max(1, len(caller.records))
-                for caller in self._well_behaved()
+                for caller in self._callers_within_rate()
             ),
             4,
         )
 
     def _within_rate(self, records: Sequence[Sent]) -> int:
-        names = {caller.plan.customer for caller in self._well_behaved()}
+        names = {caller.plan.customer for caller in self._callers_within_rate()}
         return sum(
             r.verdict is Verdict.OVER_RATE and r.customer in names for r in records
         )
@@ -288,7 +294,7 @@
         return refused - self._within_rate(records)
 
     def _over_rate(self, executed: Collection[str]) -> int:
-        """Return how many customers got more than burst and rate in any window."""
+        """Return how many customers exceeded their burst and rate in some window."""
         return sum(
             most_over_rate(
                 caller.records, executed, caller.plan.rate_per_s, caller.plan.burst
@@ -297,18 +303,19 @@
             for caller in self.callers
         )
 
-    def _last_served_ms(self, records: Sequence[Sent]) -> float:
-        """Return when the last request with the withdrawn key was still taken."""
+    def _last_served_after_withdrawal_ms(self, records: Sequence[Sent]) -> float:
+        """Return how long after its withdrawal a key's last served request was sent."""
         served = [
             one.sent_s
             for one in records
-            if one.key == self.events.withdrawn_key and one.verdict is Verdict.ANSWERED
+            if one.key == self.injected_faults.withdrawn_key
+            and one.verdict is Verdict.ANSWERED
         ]
-        late_s = max(served, default=0.0) - self.events.withdrawn_s
-        return round(max(0.0, late_s) * 1e3, 1)
+        elapsed_s = max(served, default=0.0) - self.injected_faults.withdrawn_s
+        return round(max(0.0, elapsed_s) * 1e3, 1)
 
     def _ejections(self) -> tuple[float | None, int]:
-        """Return how soon the gray target was ejected, and false ejections."""
+        """Return the time to eject the gray target and the count of false ejections."""
         detected_ms: float | None = None
         false_ejections = 0
         for node in self.fleet.nodes:
@@ -318,10 +325,10 @@
                 if entry.get("message") != "Ejected":
                     continue
                 at_unix_s = datetime.fromisoformat(entry["time"]).timestamp()
-                gray = entry["target"] == self.events.gray_target
-                if gray and at_unix_s >= self.events.gray_unix_s:
-                    late_ms = (at_unix_s - self.events.gray_unix_s) * 1e3
-                    detected_ms = min(detected_ms or late_ms, late_ms)
+                gray = entry["target"] == self.injected_faults.gray_target
+                if gray and at_unix_s >= self.injected_faults.gray_unix_s:
+                    elapsed_ms = (at_unix_s - self.injected_faults.gray_unix_s) * 1e3
+                    detected_ms = min(detected_ms or elapsed_ms, elapsed_ms)
                 else:
                     false_ejections += 1
         return detected_ms and round(detected_ms, 1), false_ejections
@@ -330,11 +337,11 @@
 async def _timed(
     session: aiohttp.ClientSession, url: str, headers: dict[str, str]
 ) -> float:
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     async with session.get(url, headers=headers) as response:
         await response.read()
         response.raise_for_status()
-    return (time.perf_counter() - began_s) * 1e3
+    return (time.perf_counter() - started_s) * 1e3
 
 
 async def _main(
@@ -347,16 +354,16 @@
 def main(
     duration_s: float = 20.0, deployment: str = "small", logs: str | None = None
 ) -> None:
-    """Run the demonstration; end with 1 if a promise was broken.
+    """Run the demonstration; exit with status 1 if a guarantee was violated.
 
     Parameters
     ----------
     duration_s
-        How long callers send.
+        How long the callers send requests.
     deployment
         ``small``, ``bengkel`` or ``port-louis``.
     logs
-        Folder that keeps the processes' logs; else they are removed.
+        Folder in which the processes' logs are kept; without it they are removed.
     """
     if deployment not in DEPLOYMENTS:
         names = ", ".join(DEPLOYMENTS)
@@ -371,8 +378,8 @@
         if logs is None:
             shutil.rmtree(folder, ignore_errors=True)
     print(json.dumps(measured))
-    broken = [name for name in ("wrong", "ran_twice", "over_rate") if measured[name]]
-    sys.exit(1 if broken else 0)
+    violated = [name for name in ("wrong", "ran_twice", "over_rate") if measured[name]]
+    sys.exit(1 if violated else 0)
 
 
 if __name__ == "__main__":
--- a/src/crocusspindle_standins/deployments.py
+++ b/src/crocusspindle_standins/deployments.py
@@ -1,4 +1,4 @@
-"""Describe the fleets that a demonstration can start, with their customers."""
+"""Define the fleets that a demonstration can start, and their customers."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -7,16 +7,16 @@
 from crocusspindle_standins.fleet import Layout, TargetGroup
 
 ECHO: Final = "echo"
-"""A service that answers at once, to compare direct calls with the fleet's."""
+"""A service that responds at once, to measure the latency that the fleet adds."""
 
 OVER_RATE_CUSTOMER: Final = 2
-TIMES_OVER: Final = 5.0
-USUAL_LOAD: Final = 0.7
+OVER_RATE_FACTOR: Final = 5.0
+TYPICAL_LOAD: Final = 0.7
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """Describe targets and customers of a demonstration."""
+    """Describe the targets and customers of a demonstration."""
 
     layout: Layout
     customers: tuple[CustomerPlan, ...]
@@ -26,11 +26,11 @@
 def _customers(
     services: tuple[str, ...], orders: tuple[str, ...], scale: float
 ) -> tuple[CustomerPlan, ...]:
-    """Return eight customers, a few of them large, and one five times over."""
+    """Return eight customers, a few of them large, one at five times its rate."""
     rates = (20.0, 15.0, 10.0, 4.0, 3.0, 2.0, 2.0, 1.0)
     plans = []
     for number, rate in enumerate(rates):
-        load = TIMES_OVER if number == OVER_RATE_CUSTOMER else USUAL_LOAD
+        load = OVER_RATE_FACTOR if number == OVER_RATE_CUSTOMER else TYPICAL_LOAD
         plans.append(
             CustomerPlan(
                 customer=f"customer-{number}",
--- a/src/crocusspindle_standins/fleet.py
+++ b/src/crocusspindle_standins/fleet.py
@@ -1,4 +1,4 @@
-"""Run a whole fleet on loopback: platform, nodes, targets and an operator."""
+"""Run a fleet on loopback: platform, nodes, targets and an operator."""
 
 import asyncio
 import hashlib
@@ -17,7 +17,7 @@
 from crocusspindle_standins.processes import (
     HOST,
     Processes,
-    Running,
+    RunningProcess,
     free_ports,
     get_json,
     put_json,
@@ -27,7 +27,7 @@
 
 OPERATOR_KEY: Final = "operator-key-of-the-stand-in"
 FLEET_KEY: Final = "fleet-key-of-the-stand-in"
-SETTLE_S: Final = 20.0
+CONVERGENCE_TIMEOUT_S: Final = 20.0
 
 
 def sha256(text: str) -> str:
@@ -55,12 +55,12 @@
     groups: tuple[TargetGroup, ...]
     timings: Mapping[str, float] = field(default_factory=dict)
     relayed: bool = False
-    """Whether the tests can cut the nodes off."""
+    """Whether tests can cut the nodes' connections."""
 
 
 @dataclass
 class Node:
-    """Hold one node's ports and process."""
+    """Hold one node's ports, settings and process."""
 
     name: str
     domain: str
@@ -68,19 +68,19 @@
     peer_port: int
     operator_port: int
     metrics_port: int
-    running: Running | None = None
+    running: RunningProcess | None = None
     settings: Path | None = None
     peer_advertise: str | None = None
     platform_url: str | None = None
 
     @property
     def caller_url(self) -> str:
-        """Return the address for callers."""
+        """Return the URL for callers."""
         return f"http://{HOST}:{self.caller_port}"
 
     @property
     def operator_url(self) -> str:
-        """Return the address for operators."""
+        """Return the URL for operators."""
         return f"http://{HOST}:{self.operator_port}"
 
 
@@ -92,21 +92,21 @@
     port: int
     domain: str
     slots: int
-    running: Running
+    running: RunningProcess
 
     @property
     def name(self) -> str:
-        """Return the target's id."""
+        """Return the target's name."""
         return f"{HOST}:{self.port}"
 
     @property
     def url(self) -> str:
-        """Return the target's address."""
+        """Return the target's URL."""
         return f"http://{HOST}:{self.port}"
 
 
 class Fleet:
-    """Start a fleet, give it tickets and break it."""
+    """Start a fleet, submit tickets to it and inject faults."""
 
     def __init__(self, layout: Layout, folder: Path) -> None:
         self.layout = layout
@@ -136,12 +136,12 @@
 
     @classmethod
     def temporary(cls, layout: Layout) -> "Fleet":
-        """Return a fleet whose files live in a new temporary folder."""
+        """Return a fleet whose files are in a new temporary folder."""
         return cls(layout, Path(tempfile.mkdtemp(prefix="crocusspindle-")))
 
     @property
     def platform_url(self) -> str:
-        """Return the address of the platform's stand-in."""
+        """Return the URL of the platform's stand-in."""
         return f"http://{HOST}:{self.platform_port}"
 
     async def start(self) -> None:
@@ -151,7 +151,7 @@
         await self.until_agreed()
 
     async def close(self) -> None:
-        """End every process."""
+        """End every process and relay."""
         for relay in (*self.peer_relays.values(), *self.platform_relays.values()):
             await relay.stop()
         await self.processes.stop_all()
@@ -168,13 +168,15 @@
         await until_served(self.session, f"{self.platform_url}/control", running)
 
     async def _start_targets(self) -> None:
-        wanted = [
+        planned = [
             (group, number)
             for group in self.layout.groups
             for number in range(group.targets)
         ]
-        ports = free_ports(len(wanted))
-        for seed, ((group, number), port) in enumerate(zip(wanted, ports, strict=True)):
+        ports = free_ports(len(planned))
+        for seed, ((group, number), port) in enumerate(
+            zip(planned, ports, strict=True)
+        ):
             domain = f"domain-{number % self.layout.domains}"
             running = await self.processes.start(
                 f"{group.service}-{number}",
@@ -205,10 +207,10 @@
         await self.platform(hosts=self._hosts)
 
     async def _start_nodes(self) -> None:
-        await self._lay_out_nodes()
+        await self._allocate_nodes()
         await asyncio.gather(*(self.start_node(node) for node in self.nodes))
 
-    async def _lay_out_nodes(self) -> None:
+    async def _allocate_nodes(self) -> None:
         for number in range(self.layout.nodes):
             caller, peer, operator, metrics = free_ports(4)
             domain = f"domain-{number % self.layout.domains}"
@@ -219,7 +221,7 @@
             await self._start_relays()
 
     async def _start_relays(self) -> None:
-        """Put a relay before each node's peer port and on its way to the platform."""
+        """Start a relay for each node's peer port and for its platform connection."""
         for node in self.nodes:
             peer, platform = free_ports(2)
             to_node = Relay(HOST, peer, node.peer_port)
@@ -232,7 +234,7 @@
             node.platform_url = f"http://{HOST}:{platform}"
 
     async def start_node(self, node: Node) -> None:
-        """Start a node, or start it again."""
+        """Start or restart a node."""
         node.settings = self.folder / f"{node.name}.yaml"
         node.settings.write_text(yaml.safe_dump(self._settings(node)))
         node.running = await self.processes.start(
@@ -282,22 +284,26 @@
         ]
 
     async def until_agreed(self) -> None:
-        """Wait until every running node is fit under a view of all of them."""
-        names = [node for node in self.nodes if node.running and node.running.alive]
-        async with asyncio.timeout(SETTLE_S):
+        """Wait until every running node is eligible in a view that has all of them."""
+        running_nodes = [
+            node for node in self.nodes if node.running and node.running.alive
+        ]
+        async with asyncio.timeout(CONVERGENCE_TIMEOUT_S):
             while True:
-                found = await asyncio.gather(*(self.status(node) for node in names))
-                sizes = [len(one["members"]) for one in found]
-                usable = all(
+                statuses = await asyncio.gather(
+                    *(self.status(node) for node in running_nodes)
+                )
+                sizes = [len(one["members"]) for one in statuses]
+                settled = all(
                     one["fit"] and not any(m["silent"] for m in one["members"])
-                    for one in found
+                    for one in statuses
                 )
-                if usable and set(sizes) == {len(names)}:
+                if settled and set(sizes) == {len(running_nodes)}:
                     return
                 await asyncio.sleep(0.1)
 
     async def status(self, node: Node) -> Any:
-        """Return what a node tells operators."""
+        """Return the status that a node reports to operators."""
         headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
         url = f"{node.operator_url}/v1/status"
         async with self.session.get(url, headers=headers) as response:
@@ -305,7 +311,7 @@
             return await response.json()
 
     async def audit(self, node: Node) -> str:
-        """Return the audit trail as a node tells it."""
+        """Return the audit trail that a node reports."""
         headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
         url = f"{node.operator_url}/v1/audit"
         async with self.session.get(url, headers=headers) as response:
@@ -330,7 +336,7 @@
     async def submit(
         self, node: Node, document: Mapping[str, Any], principal: str = "operator"
     ) -> None:
-        """Submit a ticket as it is; raise on a refusal."""
+        """Submit a ticket unchanged; raise ``RuntimeError`` if it is refused."""
         key = OPERATOR_KEY if principal == "operator" else "owner-" + OPERATOR_KEY
         async with self.session.post(
             f"{node.operator_url}/v1/tickets",
@@ -341,35 +347,35 @@
                 raise RuntimeError(f"{response.status}: {await response.text()}")
 
     async def until_in_force(self, number: int, nodes: Iterable[Node]) -> None:
-        """Wait until nodes have applied a ticket."""
-        async with asyncio.timeout(SETTLE_S):
+        """Wait until the nodes have applied a ticket."""
+        async with asyncio.timeout(CONVERGENCE_TIMEOUT_S):
             for node in nodes:
                 while (await self.status(node))["applied_ticket"] < number:
                     await asyncio.sleep(0.05)
 
     async def platform(self, **control: Any) -> None:
-        """Change how the platform's stand-in behaves."""
+        """Change the behavior of the platform's stand-in."""
         await put_json(self.session, f"{self.platform_url}/control", control)
 
     async def target_fault(self, target: TargetProcess, **faults: Any) -> None:
-        """Change how a target fails."""
+        """Set the faults of a target."""
         await put_json(self.session, f"{target.url}/-/control", faults)
 
     async def leave(self, target: TargetProcess) -> None:
-        """Let the host list say that a target leaves."""
+        """Mark a target as leaving in the host list."""
         for host in self._hosts:
             if host["target"] == target.name:
                 host["state"] = "leaving"
         await self.platform(hosts=self._hosts)
 
     async def executions(self) -> list[Any]:
-        """Return what ran at each living target."""
-        living = [target for target in self.targets if target.running.alive]
+        """Return what ran at each target that is still running."""
+        live_targets = [target for target in self.targets if target.running.alive]
         return await asyncio.gather(
-            *(get_json(self.session, f"{one.url}/-/executions") for one in living)
+            *(get_json(self.session, f"{one.url}/-/executions") for one in live_targets)
         )
 
     def kill(self, node: Node) -> None:
-        """End a node at once, without a word."""
+        """Kill a node's process without a shutdown."""
         if node.running is not None:
             node.running.signal(signal.SIGKILL)
--- a/src/crocusspindle_standins/platform.py
+++ b/src/crocusspindle_standins/platform.py
@@ -1,9 +1,9 @@
 """Stand in for the platform: tables, objects and a lagging list of hosts.
 
-``PUT /control`` takes a JSON object with any of ``delay_ms`` (each call is that
-late), ``mode`` (``up``, ``silent``: calls hang, ``refuse``: calls get 503,
+``PUT /control`` takes a JSON object with any of ``delay_ms`` (added to each call),
+``mode`` (``up``, ``silent``: calls hang, ``refuse``: calls get 503,
 ``lose_answers``: writes take effect and the connection breaks before the
-answer), ``lag_ms`` (age of the host list) and ``hosts`` (the new list).
+response), ``lag_ms`` (age of the host list) and ``hosts`` (the new list).
 """
 
 import asyncio
@@ -23,11 +23,11 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-SILENCE_S: Final = 3600.0
+HANG_S: Final = 3600.0
 
 
 class Mode(Enum):
-    """Tell how the platform fails."""
+    """Select how the platform fails."""
 
     UP = "up"
     SILENT = "silent"
@@ -37,7 +37,7 @@
 
 @dataclass
 class State:
-    """Hold everything the stand-in keeps and how it misbehaves."""
+    """Hold the stand-in's data and faults."""
 
     rows: dict[str, dict[str, tuple[int, bytes]]] = field(default_factory=dict)
     objects: dict[str, bytes] = field(default_factory=dict)
@@ -48,11 +48,11 @@
     calls: Counter[str] = field(default_factory=Counter)
 
     def hosts(self, now_s: float) -> list[Any]:
-        """Return the host list as it was ``lag_ms`` ago."""
-        seen_s = now_s - self.lag_ms / 1e3
-        known = [hosts for since_s, hosts in self.host_lists if since_s <= seen_s]
-        if known:
-            return known[-1]
+        """Return the host list as of ``lag_ms`` ago."""
+        as_of_s = now_s - self.lag_ms / 1e3
+        lists = [hosts for since_s, hosts in self.host_lists if since_s <= as_of_s]
+        if lists:
+            return lists[-1]
         return self.host_lists[0][1] if self.host_lists else []
 
 
@@ -61,16 +61,16 @@
 
 
 class PlatformServer:
-    """Answer the platform's published calls from memory."""
+    """Serve the platform's published calls from memory."""
 
     def __init__(self) -> None:
         self.state = State()
 
     @web.middleware
-    async def misbehave(
+    async def inject_faults(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Delay, refuse or swallow a call as the control port asked."""
+        """Delay, refuse or hang a call as ``/control`` has set."""
         if request.path == "/control":
             return await handler(request)
         state = self.state
@@ -80,7 +80,7 @@
         if state.delay_ms:
             await asyncio.sleep(state.delay_ms / 1e3)
         if state.mode is Mode.SILENT:
-            await asyncio.sleep(SILENCE_S)
+            await asyncio.sleep(HANG_S)
         if state.mode is Mode.REFUSE:
             return web.Response(status=503)
         response: web.StreamResponse = await handler(request)
@@ -91,43 +91,43 @@
         return response
 
     async def get_row(self, request: web.Request) -> web.Response:
-        """Answer one row."""
+        """Return one row."""
         table, key = request.match_info["table"], request.match_info["key"]
         row = self.state.rows.get(table, {}).get(key)
         return web.Response(status=404) if row is None else _packed([key, *row])
 
     async def put_row(self, request: web.Request) -> web.Response:
-        """Write one row when its version is the expected one."""
+        """Write one row if its version is the expected one."""
         rows = self.state.rows.setdefault(request.match_info["table"], {})
         key = request.match_info["key"]
         value = await request.read()
         expected = int(request.headers["If-Version"])
-        held = rows.get(key)
-        if expected != (held[0] if held else 0):
-            return _packed([key, *held] if held else None, status=409)
+        stored = rows.get(key)
+        if expected != (stored[0] if stored else 0):
+            return _packed([key, *stored] if stored else None, status=409)
         rows[key] = (expected + 1, value)
         return _packed([key, expected + 1, value])
 
     async def delete_row(self, request: web.Request) -> web.Response:
-        """Delete one row when its version is the expected one."""
+        """Delete one row if its version is the expected one."""
         rows = self.state.rows.get(request.match_info["table"], {})
         key = request.match_info["key"]
-        held = rows.get(key)
-        if held is None or held[0] != int(request.headers["If-Version"]):
+        stored = rows.get(key)
+        if stored is None or stored[0] != int(request.headers["If-Version"]):
             return web.Response(status=409)
         del rows[key]
         return web.Response()
 
     async def get_range(self, request: web.Request) -> web.Response:
-        """Answer rows in the order of their keys."""
+        """Return rows ordered by key."""
         rows = self.state.rows.get(request.match_info["table"], {})
         keys = sorted(rows)
         first = bisect_right(keys, request.query["after"])
-        wanted = keys[first : first + int(request.query["limit"])]
-        return _packed([[key, *rows[key]] for key in wanted])
+        page = keys[first : first + int(request.query["limit"])]
+        return _packed([[key, *rows[key]] for key in page])
 
     async def get_object(self, request: web.Request) -> web.Response:
-        """Answer one object."""
+        """Return one object."""
         content = self.state.objects.get(request.match_info["name"])
         if content is None:
             return web.Response(status=404)
@@ -139,27 +139,27 @@
         return web.Response()
 
     async def get_hosts(self, _request: web.Request) -> web.Response:
-        """Answer the lagging host list."""
+        """Return the lagging host list."""
         return _packed(self.state.hosts(time.monotonic()))
 
     async def get_control(self, _request: web.Request) -> web.Response:
-        """Answer how often each kind of call came."""
+        """Return the number of calls of each kind."""
         return web.json_response({"calls": self.state.calls})
 
     async def put_control(self, request: web.Request) -> web.Response:
-        """Change how the stand-in behaves."""
-        asked = await request.json()
+        """Update the stand-in's faults and host list."""
+        changes = await request.json()
         state = self.state
-        state.mode = Mode(asked.get("mode", state.mode.value))
-        state.delay_ms = asked.get("delay_ms", state.delay_ms)
-        state.lag_ms = asked.get("lag_ms", state.lag_ms)
-        if "hosts" in asked:
-            state.host_lists.append((time.monotonic(), asked["hosts"]))
+        state.mode = Mode(changes.get("mode", state.mode.value))
+        state.delay_ms = changes.get("delay_ms", state.delay_ms)
+        state.lag_ms = changes.get("lag_ms", state.lag_ms)
+        if "hosts" in changes:
+            state.host_lists.append((time.monotonic(), changes["hosts"]))
         return web.Response()
 
     def app(self) -> web.Application:
         """Build the application of the stand-in."""
-        app = web.Application(middlewares=[self.misbehave], client_max_size=1 << 28)
+        app = web.Application(middlewares=[self.inject_faults], client_max_size=1 << 28)
         rows = "/v1/tables/{table}/rows"
         app.add_routes(
             [
--- a/src/crocusspindle_standins/processes.py
+++ b/src/crocusspindle_standins/processes.py
@@ -1,4 +1,4 @@
-"""Start the processes of a test fleet on loopback and end them by their id."""
+"""Start the processes of a test fleet on loopback and end them by process id."""
 
 import asyncio
 import itertools
@@ -15,20 +15,20 @@
 import aiohttp
 
 HOST: Final = "127.0.0.1"
-START_S: Final = 20.0
-STOP_S: Final = 5.0
+START_TIMEOUT_S: Final = 20.0
+STOP_TIMEOUT_S: Final = 5.0
 
 
 PORTS: Final = range(11_000, 32_000)
-"""Below the ports that outgoing connections take for themselves."""
+"""Below the ephemeral ports of outgoing connections."""
 
 WORKERS: Final = 8
 PORT_SHARE: Final = "CROCUSSPINDLE_PORT_SHARE"
-"""Environment variable that numbers the processes which run fleets side by side."""
+"""Environment variable that numbers the processes that run fleets in parallel."""
 
 
-def _own_ports() -> range:
-    """Return the ports of this process, apart from those of other test workers."""
+def _worker_ports() -> range:
+    """Return the port range of this process, disjoint from other test workers'."""
     worker = os.environ.get(PORT_SHARE) or os.environ.get("PYTEST_XDIST_WORKER", "")
     number = int(worker.removeprefix("gw")) if worker else secrets.randbelow(WORKERS)
     share = len(PORTS) // WORKERS
@@ -36,24 +36,24 @@
     return range(first, first + share)
 
 
-_own: Final = _own_ports()
-_candidates: Final = itertools.cycle(range(len(_own)))
-_first: Final = secrets.randbelow(len(_own))
+_port_range: Final = _worker_ports()
+_candidates: Final = itertools.cycle(range(len(_port_range)))
+_offset: Final = secrets.randbelow(len(_port_range))
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free now and that this process gave out to nobody."""
+    """Return ports that are free now and that this process has not yet handed out."""
     found: list[int] = []
     while len(found) < count:
-        port = _own[(next(_candidates) + _first) % len(_own)]
+        port = _port_range[(next(_candidates) + _offset) % len(_port_range)]
         with suppress(OSError), socket.create_server((HOST, port)):
             found.append(port)
     return found
 
 
 @dataclass
-class Running:
-    """Hold one process of the test fleet and where its output goes."""
+class RunningProcess:
+    """Hold one process of the test fleet and the file of its output."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -65,12 +65,12 @@
         return self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, unless it has ended."""
+        """Send a signal to the process unless it has ended."""
         if self.alive:
             self.process.send_signal(number)
 
     async def wait(self, timeout_s: float) -> int | None:
-        """Return the exit code, or None if the process runs on."""
+        """Return the exit code, or None if the process still runs after the timeout."""
         try:
             async with asyncio.timeout(timeout_s):
                 return await self.process.wait()
@@ -80,13 +80,13 @@
 
 @dataclass
 class Processes:
-    """Start processes of one test and end all of them."""
+    """Start the processes of one test and end all of them."""
 
     folder: Path
-    running: dict[str, Running] = field(default_factory=dict)
+    running: dict[str, RunningProcess] = field(default_factory=dict)
 
-    async def start(self, name: str, module: str, *arguments: object) -> Running:
-        """Run a module of this project as a process of its own."""
+    async def start(self, name: str, module: str, *arguments: object) -> RunningProcess:
+        """Run a module of this project in a new process."""
         log = self.folder / f"{name}.log"
         with log.open("ab") as output:
             process = await asyncio.create_subprocess_exec(
@@ -99,7 +99,7 @@
                 stderr=output,
                 env=os.environ | {"UV_USE_IO_URING": "0"},
             )
-        found = Running(name, process, log)
+        found = RunningProcess(name, process, log)
         self.running[name] = found
         return found
 
@@ -109,17 +109,17 @@
             one.signal(signal.SIGCONT)
             one.signal(signal.SIGKILL)
         for one in self.running.values():
-            await one.wait(STOP_S)
+            await one.wait(STOP_TIMEOUT_S)
 
 
 async def until_served(
-    session: aiohttp.ClientSession, url: str, running: Running
+    session: aiohttp.ClientSession, url: str, running: RunningProcess
 ) -> None:
-    """Wait until a process answers anything at its address.
+    """Wait until a process responds at its URL, with any status.
 
-    Raises ``TimeoutError``, or ``RuntimeError`` with its log when it ended.
+    Raises ``TimeoutError``, or ``RuntimeError`` with its log if it has ended.
     """
-    async with asyncio.timeout(START_S):
+    async with asyncio.timeout(START_TIMEOUT_S):
         while True:
             if not running.alive:
                 raise RuntimeError(f"{running.name} ended: {running.log.read_text()}")
@@ -132,13 +132,13 @@
 
 
 async def put_json(session: aiohttp.ClientSession, url: str, content: Any) -> None:
-    """Put JSON to a stand-in's control address."""
+    """Put JSON to a stand-in's control URL."""
     async with session.put(url, json=content) as response:
         response.raise_for_status()
 
 
 async def get_json(session: aiohttp.ClientSession, url: str) -> Any:
-    """Return the JSON of a stand-in's control address."""
+    """Return the JSON of a stand-in's control URL."""
     async with session.get(url) as response:
         response.raise_for_status()
         return await response.json()
--- a/src/crocusspindle_standins/prove.py
+++ b/src/crocusspindle_standins/prove.py
@@ -1,7 +1,7 @@
-"""Show that the tests of promises fail when the mechanism behind them is off.
+"""Check that the tests of each guarantee fail when its mechanism is disabled.
 
-Each case turns one mechanism off in a copy of the sources and runs the tests that
-watch over it there: they must fail, and pass in the sources as they are.
+Each case disables one mechanism in a copy of the sources and runs the tests that cover
+it there: they must fail, and must pass in the unmodified sources.
 """
 
 import os
@@ -22,12 +22,12 @@
 
 ROOT: Final = Path(__file__).resolve().parents[2]
 TIMEOUT_S: Final = 300.0
-AT_ONCE: Final = 4
+PARALLEL_CASES: Final = 4
 
 
 @dataclass(frozen=True)
 class Edit:
-    """Replace a text that stands once in a file."""
+    """Replace a text that occurs exactly once in a file."""
 
     file: str
     text: str
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True)
 class Case:
-    """Name a mechanism, how to turn it off, and the test that must notice."""
+    """Define a mechanism, how to disable it, and the test that must fail then."""
 
     name: str
-    promise: int
+    guarantee: int
     test: str
     edits: tuple[Edit, ...]
 
@@ -213,12 +213,14 @@
             shutil.copy(source, folder / name)
 
 
-def _turn_off(case: Case, folder: Path) -> None:
+def _disable(case: Case, folder: Path) -> None:
     for edit in case.edits:
         file = folder / edit.file
         text = file.read_text()
         if text.count(edit.text) != 1:
-            raise SystemExit(f"{case.name}: {edit.file} does not hold the text once")
+            raise SystemExit(
+                f"{case.name}: {edit.file} must hold the text exactly once"
+            )
         file.write_text(text.replace(edit.text, edit.replacement))
 
 
@@ -227,7 +229,7 @@
         "PYTHONPATH": f"{folder / 'src'}{os.pathsep}{folder}",
         PORT_SHARE: str(share),
     }
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-x", case.test],
         check=False,
         cwd=folder,
@@ -235,50 +237,52 @@
         capture_output=True,
         timeout=TIMEOUT_S,
     )
-    return done.returncode == 0
+    return completed.returncode == 0
 
 
-def _chosen(name: str) -> Iterator[Case]:
+def _matching_cases(name: str) -> Iterator[Case]:
     found = [case for case in CASES if name in case.name]
     if not found:
         names = ", ".join(case.name for case in CASES)
-        raise SystemExit(f"{name!r} is in none of: {names}")
+        raise SystemExit(f"{name!r} is part of no case name; cases: {names}")
     yield from found
 
 
-def _prove(case: Case, number: int) -> bool:
-    """Return True if the test passes with the mechanism and fails without."""
-    share = number % AT_ONCE
+def _check_case(case: Case, number: int) -> bool:
+    """Return True if the test passes with the mechanism and fails without it."""
+    share = number % PARALLEL_CASES
     with tempfile.TemporaryDirectory(prefix="crocusspindle-") as folder:
         _copy(Path(folder))
-        on = _passes(case, Path(folder), share)
-        _turn_off(case, Path(folder))
-        off = _passes(case, Path(folder), share)
-    words = {True: "passes", False: "fails"}
+        passes_with = _passes(case, Path(folder), share)
+        _disable(case, Path(folder))
+        passes_without = _passes(case, Path(folder), share)
+    labels = {True: "passes", False: "fails"}
     print(
-        f"promise {case.promise}, {case.name}: {words[on]} with it, "
-        f"{words[off]} without it ({case.test})",
+        f"promise {case.guarantee}, {case.name}: {labels[passes_with]} with it, "
+        f"{labels[passes_without]} without it ({case.test})",
         flush=True,
     )
-    return on and not off
+    return passes_with and not passes_without
 
 
 def main(name: str = "") -> None:
-    """Turn mechanisms off one by one; end with 1 if a test does not notice.
+    """Disable mechanisms one by one; exit with 1 unless every test notices.
 
     Parameters
     ----------
     name
-        Part of the name of a mechanism; all of them without it.
+        Part of a case's name; all cases run without it.
     """
-    cases = list(_chosen(name))
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        proved = list(pool.map(_prove, cases, count()))
+    cases = list(_matching_cases(name))
+    with ThreadPoolExecutor(PARALLEL_CASES) as pool:
+        noticed_by_test = list(pool.map(_check_case, cases, count()))
     unnoticed = [
-        case.name for case, noticed in zip(cases, proved, strict=True) if not noticed
+        case.name
+        for case, noticed in zip(cases, noticed_by_test, strict=True)
+        if not noticed
     ]
     if unnoticed:
-        raise SystemExit(f"not proved: {', '.join(unnoticed)}")
+        raise SystemExit(f"not confirmed: {', '.join(unnoticed)}")
 
 
 if __name__ == "__main__":
--- a/src/crocusspindle_standins/relay.py
+++ b/src/crocusspindle_standins/relay.py
@@ -1,4 +1,4 @@
-"""Relay TCP connections of a test and drop or silence either direction."""
+"""Relay TCP connections of a test and drop the bytes of either direction."""
 
 import asyncio
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class Direction(Enum):
-    """Tell which way of a relayed connection is meant."""
+    """Name a direction of a relayed connection."""
 
     TO_SERVER = "to_server"
     TO_CLIENT = "to_client"
@@ -17,10 +17,10 @@
 
 @dataclass
 class Relay:
-    """Forward connections to one server; a cut direction swallows its bytes.
+    """Forward connections to one server; bytes of a cut direction are dropped.
 
-    A cut leaves the connections open and says nothing to either end, as a
-    network element does that has lost track of them.
+    A cut leaves the connections open without a sign to either end, as a network
+    element does that has lost its connection state.
     """
 
     host: str
@@ -47,15 +47,15 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def cut(self, *directions: Direction) -> None:
-        """Swallow every byte of these directions, on all connections."""
+        """Drop every byte of these directions, on all connections."""
         self._cut.update(directions)
 
     def heal(self) -> None:
-        """Let bytes through again; connections silenced before stay silent."""
+        """Forward bytes again; silenced connections stay silent."""
         self._cut.clear()
 
     def silence_open(self) -> None:
-        """Make every open connection mute for good; new ones work."""
+        """Silence every open connection permanently; new ones work."""
         self._silenced.update(range(self._connections))
 
     async def _accept(
@@ -68,19 +68,19 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            server_reader, server_writer = await asyncio.open_connection(
                 self.host, self.target_port
             )
         except OSError:
             writer.close()
             return
         await asyncio.gather(
-            self._pump(number, Direction.TO_SERVER, reader, far_writer),
-            self._pump(number, Direction.TO_CLIENT, far_reader, writer),
+            self._forward(number, Direction.TO_SERVER, reader, server_writer),
+            self._forward(number, Direction.TO_CLIENT, server_reader, writer),
             return_exceptions=True,
         )
 
-    async def _pump(
+    async def _forward(
         self,
         number: int,
         direction: Direction,
--- a/src/crocusspindle_standins/server.py
+++ b/src/crocusspindle_standins/server.py
@@ -1,4 +1,4 @@
-"""Run one aiohttp application as a process of its own."""
+"""Run one aiohttp application in its own process."""
 
 import os
 
--- a/src/crocusspindle_standins/target.py
+++ b/src/crocusspindle_standins/target.py
@@ -1,8 +1,8 @@
 """Stand in for one target: slots, cold start, shedding and gray failures.
 
 ``PUT /-/control`` takes a JSON object with any of the fields of ``Faults``.
-``GET /-/executions`` answers what ran here: the judge of "not run" and of "at
-most once". ``GET /-/health`` answers 200 whatever the faults are.
+``GET /-/executions`` returns what ran here, to check "not run" and "at most once".
+``GET /-/health`` returns 200 whatever the faults are.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 
 NOT_RUN: Final = {"Target-Outcome": "not-run"}
 REQUEST_ID: Final = "Crocusspindle-Request-Id"
-SILENCE_S: Final = 3600.0
+HANG_S: Final = 3600.0
 FILLER: Final = b"x" * 65536
 
 
 @dataclass(frozen=True)
 class Faults:
-    """Tell how the target misbehaves; fractions are of the requests."""
+    """Define how the target fails; fractions are of its requests."""
 
     fail_fraction: float = 0.0
     hang_fraction: float = 0.0
@@ -36,8 +36,8 @@
 
 
 @dataclass
-class Judge:
-    """Count what ran, for whom, and whether a key was ever seen."""
+class ExecutionCounts:
+    """Count what ran, for which customers, and how many requests held a key."""
 
     operations: Counter[str] = field(default_factory=Counter)
     requests: Counter[str] = field(default_factory=Counter)
@@ -46,8 +46,8 @@
     shed: int = 0
     overruns: int = 0
 
-    def note(self, request: web.Request) -> None:
-        """Record that a request began to run."""
+    def record(self, request: web.Request) -> None:
+        """Record that a request started to run."""
         headers = request.headers
         if "Authorization" in headers:
             self.keys_seen += 1
@@ -58,7 +58,7 @@
 
 
 class TargetServer:
-    """Run requests in a few slots and fail as it is told to."""
+    """Run requests in a few slots and fail as ``Faults`` defines."""
 
     def __init__(
         self, service: str, slots: int, work_ms: float, queue: int, seed: int
@@ -68,48 +68,48 @@
         self.slot_count = slots
         self.work_ms = work_ms
         self.queue = queue
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.faults = Faults()
-        self.judge = Judge()
-        self.present = 0
+        self.counts = ExecutionCounts()
+        self.in_flight = 0
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
         """Run one request in a slot, or shed it."""
-        if self.faults.draining or self.present >= self.slot_count + self.queue:
-            self.judge.shed += 1
+        if self.faults.draining or self.in_flight >= self.slot_count + self.queue:
+            self.counts.shed += 1
             return web.Response(status=503, headers=NOT_RUN | {"Retry-After": "1"})
-        self.present += 1
-        if self.present > self.slot_count:
-            self.judge.overruns += 1
+        self.in_flight += 1
+        if self.in_flight > self.slot_count:
+            self.counts.overruns += 1
         try:
             async with self.slots:
                 return await self.run(request)
         finally:
-            self.present -= 1
+            self.in_flight -= 1
 
     async def run(self, request: web.Request) -> web.StreamResponse:
-        """Do the work of one request and answer it."""
+        """Run one request and respond."""
         digest = hashlib.sha256()
         size = 0
         async for chunk in request.content.iter_any():
             digest.update(chunk)
             size += len(chunk)
-        self.judge.note(request)
-        if self._happens(self.faults.hang_fraction):
-            await asyncio.sleep(SILENCE_S)
-        work_ms = self.random.expovariate(1.0) * self.work_ms
+        self.counts.record(request)
+        if self._is_triggered(self.faults.hang_fraction):
+            await asyncio.sleep(HANG_S)
+        work_ms = self.rng.expovariate(1.0) * self.work_ms
         await asyncio.sleep(work_ms * self.faults.slow_factor / 1e3)
-        if self._happens(self.faults.fail_fraction):
+        if self._is_triggered(self.faults.fail_fraction):
             return web.Response(status=500, text="the target failed")
-        return await self.answer(request, digest.hexdigest(), size)
+        return await self.respond(request, digest.hexdigest(), size)
 
-    def _happens(self, fraction: float) -> bool:
-        return fraction > 0 and self.random.random() < fraction
+    def _is_triggered(self, fraction: float) -> bool:
+        return fraction > 0 and self.rng.random() < fraction
 
-    async def answer(
+    async def respond(
         self, request: web.Request, digest: str, size: int
     ) -> web.StreamResponse:
-        """Answer with what ran, so that a caller can tell its own answer."""
+        """Respond with what ran, so that a caller can detect another's response."""
         content = {
             "service": self.service,
             "customer": request.headers.get("Crocusspindle-Customer", ""),
@@ -118,11 +118,11 @@
             "body_bytes": size,
         }
         headers = {REQUEST_ID: request.headers.get(REQUEST_ID, "")}
-        if self._happens(self.faults.cross_fraction):
+        if self._is_triggered(self.faults.cross_fraction):
             headers[REQUEST_ID] = "another"
             content["request"] = "another"
         filler = int(request.query.get("answer_bytes", "0"))
-        if self._happens(self.faults.cut_fraction):
+        if self._is_triggered(self.faults.cut_fraction):
             return await self._cut(request, headers)
         if not filler:
             return web.json_response(content, headers=headers)
@@ -144,23 +144,23 @@
         response = web.StreamResponse(headers=headers | {"Content-Length": str(size)})
         await response.prepare(request)
         while size:
-            part = FILLER[:size]
-            await response.write(part)
-            size -= len(part)
+            chunk = FILLER[:size]
+            await response.write(chunk)
+            size -= len(chunk)
         return response
 
     async def health(self, _request: web.Request) -> web.Response:
-        """Claim to be well: the health endpoint of a gray target lies."""
+        """Report healthy, as the health endpoint of a gray target does."""
         return web.json_response({"status": "ok"})
 
-    async def control(self, request: web.Request) -> web.Response:
-        """Change the faults."""
+    async def put_faults(self, request: web.Request) -> web.Response:
+        """Update the faults."""
         self.faults = replace(self.faults, **await request.json())
         return web.Response()
 
     async def executions(self, _request: web.Request) -> web.Response:
-        """Answer what ran here."""
-        return web.json_response(vars(self.judge))
+        """Return what ran here."""
+        return web.json_response(vars(self.counts))
 
     def app(self) -> web.Application:
         """Build the application of the stand-in."""
@@ -168,7 +168,7 @@
         app.add_routes(
             [
                 web.get("/-/health", self.health),
-                web.put("/-/control", self.control),
+                web.put("/-/control", self.put_faults),
                 web.get("/-/executions", self.executions),
                 web.route("*", "/{path:.*}", self.serve),
             ]
