--- a/src/crocusspindle_standins/on_platform/demo.py
+++ b/src/crocusspindle_standins/on_platform/demo.py
@@ -1,8 +1,8 @@
-"""Show a small fleet before a stand-in of the platform, with real traffic and faults.
+"""Run a small fleet against a stand-in of the platform, with real traffic and faults.
 
-A gray target, a killed gateway and a withdrawn key come while callers ask. The report
-says what callers got, and what must never happen: an order that ran twice, or one that
-was called not run and ran.
+A target turns gray, a gateway is killed and a key is withdrawn under load. The report
+counts what callers received, and what must never happen: an order that ran twice, or
+one that was reported as not run and ran.
 """
 
 import asyncio
@@ -21,18 +21,18 @@
 from crocusspindle_standins.on_platform.fleet import KEY, Fleet, configuration
 from crocusspindle_standins.on_platform.target import Trouble
 
-PROMISES: Final = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 SECOND_KEY: Final = "second-key-of-the-club"
-PAUSE_S: Final = 0.02
-WITHDRAWN_WITHIN_S: Final = 2.0
-UNKNOWN_KEY: Final = 401
+CALL_INTERVAL_S: Final = 0.02
+MAX_WITHDRAWAL_S: Final = 2.0
+UNAUTHORIZED_STATUS: Final = 401
 GATEWAYS: Final = 3
-SERVED: Final = 200
+OK_STATUS: Final = 200
 
 
 @dataclass
 class Report:
-    """Hold what a demonstration found."""
+    """Hold the results of a demonstration."""
 
     statuses: dict[int, int] = field(default_factory=dict)
     no_answer: int = 0
@@ -43,14 +43,14 @@
     store_calls: int = 0
 
     @property
-    def kept(self) -> bool:
-        """Return True if every promise was kept."""
+    def guarantees_held(self) -> bool:
+        """Return True if every guarantee held."""
         return (
             self.ran_twice == 0
             and self.said_not_run_but_ran == 0
             and self.withdrawn_key_refused_after_s is not None
-            and self.withdrawn_key_refused_after_s <= WITHDRAWN_WITHIN_S
-            and self.statuses.get(SERVED, 0) > 0
+            and self.withdrawn_key_refused_after_s <= MAX_WITHDRAWAL_S
+            and self.statuses.get(OK_STATUS, 0) > 0
         )
 
 
@@ -64,27 +64,27 @@
         self._orders: dict[str, int] = {}
 
     async def run(self) -> Report:
-        """Run it and return what was found."""
+        """Run all steps and return the report."""
         try:
             await self._fleet.start(GATEWAYS, targets=6)
             document = configuration(2)
             document["tenants"]["club"]["api_keys"] = [KEY, SECOND_KEY]
             await self._fleet.configure(document)
-            await asyncio.gather(self._calls(), self._faults())
-            await self._withdraw()
-            self._judge()
+            await asyncio.gather(self._send_calls(), self._inject_faults())
+            await self._withdraw_key()
+            self._evaluate()
         finally:
             await self._fleet.stop()
         return self._report
 
-    async def _calls(self) -> None:
-        ends = time.monotonic() + self._duration_s
+    async def _send_calls(self) -> None:
+        ends_s = time.monotonic() + self._duration_s
         running: set[asyncio.Task[None]] = set()
         number = 0
-        while time.monotonic() < ends:
+        while time.monotonic() < ends_s:
             number += 1
             running.add(asyncio.create_task(self._call(number)))
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(CALL_INTERVAL_S)
         await asyncio.gather(*running)
 
     async def _call(self, number: int) -> None:
@@ -104,7 +104,7 @@
         if order:
             self._orders[request_id] = status
 
-    async def _faults(self) -> None:
+    async def _inject_faults(self) -> None:
         gray = self._fleet.targets[0]
         await asyncio.sleep(self._duration_s / 4)
         before = gray.ran.total()
@@ -118,39 +118,39 @@
         await victim.process.wait()
         await self._fleet.run(victim)
 
-    async def _withdraw(self) -> None:
+    async def _withdraw_key(self) -> None:
         await self._fleet.configure(configuration(3))
-        began = time.monotonic()
-        while time.monotonic() - began < 2 * WITHDRAWN_WITHIN_S:
+        started_s = time.monotonic()
+        while time.monotonic() - started_s < 2 * MAX_WITHDRAWAL_S:
             status, _, _ = await self._fleet.call("/pages/1", key=SECOND_KEY)
-            if status == UNKNOWN_KEY:
-                took_s = round(time.monotonic() - began, 2)
+            if status == UNAUTHORIZED_STATUS:
+                took_s = round(time.monotonic() - started_s, 2)
                 self._report.withdrawn_key_refused_after_s = took_s
                 return
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(CALL_INTERVAL_S)
 
-    def _judge(self) -> None:
+    def _evaluate(self) -> None:
         for request_id, status in self._orders.items():
             ran = self._fleet.ran(request_id)
             self._report.ran_twice += ran > 1
-            self._report.said_not_run_but_ran += status in PROMISES and ran > 0
+            self._report.said_not_run_but_ran += status in NOT_RUN_STATUSES and ran > 0
         self._report.store_calls = self._fleet.store.calls
 
 
 def main(duration_s: float = 8.0) -> None:
-    """Run a demonstration and print its report; exit with 1 on a broken promise.
+    """Run a demonstration and print its report; exit with 1 if a guarantee fails.
 
     Parameters
     ----------
     duration_s
-        How long callers ask.
+        How long the callers send requests.
     """
-    # The gray target breaks connections on purpose; its library would report each.
+    # The gray target aborts connections on purpose; aiohttp would log each of them.
     logging.disable(logging.ERROR)
     with tempfile.TemporaryDirectory() as folder:
         report = asyncio.run(Demo(Path(folder), float(duration_s)).run())
-    print(json.dumps({**asdict(report), "kept": report.kept}, indent=2))
-    sys.exit(0 if report.kept else 1)
+    print(json.dumps({**asdict(report), "kept": report.guarantees_held}, indent=2))
+    sys.exit(0 if report.guarantees_held else 1)
 
 
 if __name__ == "__main__":
--- a/src/crocusspindle_standins/on_platform/fleet.py
+++ b/src/crocusspindle_standins/on_platform/fleet.py
@@ -22,18 +22,18 @@
 SOURCE: Final = Path(__file__).resolve().parents[2]
 KEY: Final = "key-of-the-club"
 HOST: Final = "hall.example"
-START_S: Final = 20.0
-BEAT_S: Final = 0.5
+START_TIMEOUT_S: Final = 20.0
+HEARTBEAT_S: Final = 0.5
 OK: Final = 200
 
 
-def _worker() -> int:
-    # Metrics have one fixed port, so fleets side by side need addresses of their own.
+def _worker_number() -> int:
+    # The metrics port is fixed, so each test worker's fleet needs its own addresses.
     return int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
 
 
 def configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a configuration in the platform's form."""
+    """Return a configuration in the platform's format."""
     route = {
         "host": HOST,
         "timeout_s": 2,
@@ -55,7 +55,7 @@
 
 @dataclass
 class Gateway:
-    """Hold one gateway process and where it listens."""
+    """Hold one gateway process and its addresses."""
 
     name: str
     ip: str
@@ -65,25 +65,25 @@
 
     @property
     def caller_url(self) -> str:
-        """Return where callers connect."""
+        """Return the URL for callers."""
         return f"http://{self.ip}:{self.ports[0]}"
 
     @property
     def ready_url(self) -> str:
-        """Return where readiness is asked."""
+        """Return the URL of the readiness check."""
         return f"http://{self.ip}:{self.ports[1]}/-/readiness"
 
     @property
     def where_url(self) -> str:
-        """Return where callers ask for addresses."""
+        """Return the URL of the gateway directory."""
         return f"http://{self.ip}:{self.ports[2]}/-/resolve?name=x&zone=a"
 
     def log(self) -> str:
-        """Return what the process has written."""
+        """Return the output of the process."""
         return self.settings.with_suffix(".log").read_text()
 
     def lines(self) -> list[dict[str, Any]]:
-        """Return the lines of the log that are JSON."""
+        """Return the parsed JSON lines of the log."""
         return [json.loads(line) for line in self.log().splitlines() if line[0] == "{"]
 
 
@@ -98,9 +98,9 @@
     gateways: list[Gateway] = field(default_factory=list)
     session: aiohttp.ClientSession | None = None
     runner: web.AppRunner | None = None
-    beats: asyncio.Task[None] | None = None
+    heartbeat_task: asyncio.Task[None] | None = None
     requests: int = 0
-    _shown: dict[str, str] = field(default_factory=dict)
+    _published: dict[str, str] = field(default_factory=dict)
 
     async def start(self, gateways: int = 3, targets: int = 4) -> None:
         """Start everything and wait until all gateways are ready."""
@@ -115,41 +115,41 @@
             target = StampedTarget(f"t{number}", "books", "a")
             await target.start("127.0.0.1")
             self.targets.append(target)
-        self.beats = asyncio.create_task(self._beat())
+        self.heartbeat_task = asyncio.create_task(self._write_entries())
         for number in range(gateways):
             await self.add_gateway(number)
         await self.until_ready()
 
     async def configure(self, document: dict[str, Any]) -> None:
-        """Write a configuration as the operator does."""
+        """Write a configuration to the store as an operator does."""
         await self.store.put("op", "config", json.dumps(document).encode())
 
     @property
     def client(self) -> aiohttp.ClientSession:
-        """Return the session of a started fleet."""
+        """Return the session; the fleet must be started."""
         assert self.session is not None
         return self.session
 
-    async def _beat(self) -> None:
+    async def _write_entries(self) -> None:
         while True:
             for target in self.targets:
-                await self._show(target)
-            await asyncio.sleep(BEAT_S)
-
-    async def _show(self, target: StampedTarget) -> None:
-        # The entry of an instance that has ended lapses.
-        shown = self._shown.get(target.address)
-        if shown is not None and shown != target.identity:
-            await self.store.remove(TABLE, shown)
-        if target.is_up:
-            await target.beat(self.store)
-            self._shown[target.address] = target.identity
+                await self._publish_entry(target)
+            await asyncio.sleep(HEARTBEAT_S)
+
+    async def _publish_entry(self, target: StampedTarget) -> None:
+        # Removes the entry of the address's previous instance, as if it had expired.
+        published = self._published.get(target.address)
+        if published is not None and published != target.identity:
+            await self.store.remove(TABLE, published)
+        if target.is_listening:
+            await target.write_entry(self.store)
+            self._published[target.address] = target.identity
 
     async def add_gateway(self, number: int) -> Gateway:
-        """Start one more gateway on an address of its own."""
+        """Start one more gateway on its own address."""
         gateway = Gateway(
             f"g{number}",
-            f"127.0.{_worker() + 1}.{number + 11}",
+            f"127.0.{_worker_number() + 1}.{number + 11}",
             free_ports(3),
             self.folder / f"g{number}.toml",
         )
@@ -193,8 +193,8 @@
             )
 
     async def until_ready(self) -> None:
-        """Wait until each gateway is ready and known to be."""
-        async with asyncio.timeout(START_S):
+        """Wait until each gateway is ready and all are listed in the directory."""
+        async with asyncio.timeout(START_TIMEOUT_S):
             for gateway in self.gateways:
                 while not await self.is_ready(gateway):
                     await asyncio.sleep(0.05)
@@ -202,14 +202,14 @@
                 await asyncio.sleep(0.05)
 
     async def is_ready(self, gateway: Gateway) -> bool:
-        """Return True if a gateway says that it is ready."""
+        """Return True if a gateway reports that it is ready."""
         with suppress(aiohttp.ClientError):
             async with self.client.get(gateway.ready_url) as response:
                 return response.status == OK
         return False
 
     async def where(self, gateway: int = 0) -> list[str]:
-        """Return the addresses that a gateway names."""
+        """Return the gateway addresses that a gateway lists."""
         url = self.gateways[gateway].where_url
         async with self.client.get(url) as response:
             if response.status != OK:
@@ -225,30 +225,32 @@
         key: str = KEY,
         **more: Any,
     ) -> tuple[int, bytes, Mapping[str, str]]:
-        """Send one request and return status, body and headers of its answer."""
+        """Send one request and return the response's status, body and headers."""
         self.requests += 1
-        sent = {
+        request_headers = {
             "Host": HOST,
             "X-Request-Id": f"r{self.requests}",
             "X-Deadline-Milliseconds": "2000",
             "X-Api-Key": key,
         }
         url = self.gateways[gateway].caller_url + path
-        async with self.client.request(method, url, headers=sent, **more) as got:
-            return got.status, await got.read(), got.headers
+        async with self.client.request(
+            method, url, headers=request_headers, **more
+        ) as reply:
+            return reply.status, await reply.read(), reply.headers
 
     def ran(self, request_id: str) -> int:
-        """Return how often a request ran."""
+        """Return how often a request ran at all targets together."""
         return sum(target.ran[request_id] for target in self.targets)
 
     async def stop(self) -> None:
-        """End all processes that were started here."""
+        """Stop all gateways, targets and the store."""
         for gateway in self.gateways:
             if gateway.process is not None and gateway.process.returncode is None:
                 gateway.process.send_signal(signal.SIGKILL)
                 await gateway.process.wait()
-        if self.beats is not None:
-            self.beats.cancel()
+        if self.heartbeat_task is not None:
+            self.heartbeat_task.cancel()
         for target in self.targets:
             await target.stop()
         if self.runner is not None:
--- a/src/crocusspindle_standins/on_platform/store.py
+++ b/src/crocusspindle_standins/on_platform/store.py
@@ -1,7 +1,7 @@
-"""Stand in for the platform's store of tables, with its outages.
+"""Stand in for the platform's table store, with its outages.
 
-Rows, feeds and conditions are as the platform's page tells. ``mode`` makes the store
-misbehave: refuse with 503, say nothing, or do writes and lose their answers.
+Rows, feeds and conditional writes follow the platform's specification. ``mode`` selects
+a fault: refuse with 503, never respond, or apply writes and lose the responses.
 """
 
 import asyncio
@@ -15,13 +15,13 @@
 
 HISTORY_S: Final = 20.0
 PAGE_ROWS: Final = 500
-SILENCE_S: Final = 3600.0
+HANG_S: Final = 3600.0
 
 Key = tuple[str, str, str]
 
 
 class StoreMode(Enum):
-    """Tell how the store treats calls."""
+    """Select how the store handles calls."""
 
     WELL = "well"
     BUSY = "busy"
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Kept:
+class TableRow:
     """Hold one row, removed or not, as of its last change."""
 
     key: Key
@@ -46,13 +46,13 @@
 
     mode: StoreMode = StoreMode.WELL
     version: int = 0
-    rows: dict[Key, Kept] = field(default_factory=dict)
+    rows: dict[Key, TableRow] = field(default_factory=dict)
     calls: int = 0
-    oldest_feed: int = 0
+    oldest_feed_version: int = 0
     _changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
     def app(self) -> web.Application:
-        """Return the application that serves the calls."""
+        """Build the application of the store."""
         app = web.Application()
         app.router.add_post("/-/rows-tx", self._transact)
         app.router.add_get("/-/rows-get", self._get)
@@ -60,92 +60,92 @@
         return app
 
     async def put(self, table: str, key: str, value: bytes) -> None:
-        """Write a row as the operator or a target does."""
+        """Write a row as an operator or a target does."""
         text = base64.b64encode(value).decode()
         await self._apply([((table, "", key), text)], [])
 
     async def remove(self, table: str, key: str) -> None:
-        """Remove a row as the operator or a target does."""
+        """Remove a row as an operator or a target does."""
         await self._apply([], [(table, "", key)])
 
     def forget(self) -> None:
-        """Drop the history: feeds from before answer 410."""
-        self.oldest_feed = self.version
+        """Drop the history: a feed from an earlier version gets 410."""
+        self.oldest_feed_version = self.version
 
     async def _apply(self, puts: list[tuple[Key, str]], removes: list[Key]) -> int:
         async with self._changed:
             self.version += 1
             now_s = time.monotonic()
             for key, text in puts:
-                self.rows[key] = Kept(key, text, self.version, now_s)
+                self.rows[key] = TableRow(key, text, self.version, now_s)
             for key in removes:
-                self.rows[key] = Kept(key, "", self.version, now_s, removed=True)
+                self.rows[key] = TableRow(key, "", self.version, now_s, removed=True)
             self._changed.notify_all()
             return self.version
 
     async def _admit(self) -> None:
         self.calls += 1
         if self.mode is StoreMode.SILENT:
-            await asyncio.sleep(SILENCE_S)
+            await asyncio.sleep(HANG_S)
         if self.mode is StoreMode.BUSY:
             raise web.HTTPServiceUnavailable
 
     async def _transact(self, request: web.Request) -> web.Response:
         await self._admit()
         body = await request.json()
-        for wanted in body["expected"]:
-            kept = self.rows.get(_key(wanted))
-            found = 0 if kept is None or kept.removed else kept.version
-            if found != wanted["schema_version"]:
-                return self._answer([], status=412)
+        for condition in body["expected"]:
+            stored = self.rows.get(_key(condition))
+            current_version = 0 if stored is None or stored.removed else stored.version
+            if current_version != condition["schema_version"]:
+                return self._respond([], status=412)
         puts = [(_key(row), row["value"]) for row in body["puts"]]
         await self._apply(puts, [_key(row) for row in body["remove"]])
         if self.mode is StoreMode.LOSES_ANSWERS and request.transport is not None:
             request.transport.abort()
-        return self._answer([])
+        return self._respond([])
 
     async def _get(self, request: web.Request) -> web.Response:
         await self._admit()
         query = request.query
         found = sorted(
             (
-                kept
-                for kept in self.rows.values()
-                if kept.key[:2] == (query["table"], query.get("part", ""))
-                and not kept.removed
-                and kept.key[2] >= query.get("range_start", "")
+                row
+                for row in self.rows.values()
+                if row.key[:2] == (query["table"], query.get("part", ""))
+                and not row.removed
+                and row.key[2] >= query.get("range_start", "")
             ),
-            key=lambda kept: kept.key[2],
+            key=lambda row: row.key[2],
         )
         limit = min(PAGE_ROWS, int(query.get("limit", PAGE_ROWS)))
-        return self._answer(found[:limit], has_more=len(found) > limit)
+        return self._respond(found[:limit], has_more=len(found) > limit)
 
     async def _feed(self, request: web.Request) -> web.Response:
         await self._admit()
         table, after = request.query["table"], int(request.query["after"])
         wait_s = min(30.0, int(request.query.get("wait_ms", 0)) / 1e3)
-        if after < self.oldest_feed:
+        if after < self.oldest_feed_version:
             raise web.HTTPGone
         try:
             async with asyncio.timeout(wait_s), self._changed:
-                await self._changed.wait_for(lambda: self._since(table, after))
+                await self._changed.wait_for(lambda: self._rows_since(table, after))
         except TimeoutError:
             pass
-        return self._answer(self._since(table, after))
+        return self._respond(self._rows_since(table, after))
 
-    def _since(self, table: str, after: int) -> list[Kept]:
+    def _rows_since(self, table: str, after: int) -> list[TableRow]:
         found = [
-            kept
-            for kept in self.rows.values()
-            if kept.key[0] == table and kept.version > after
+            row
+            for row in self.rows.values()
+            if row.key[0] == table and row.version > after
         ]
-        return sorted(found, key=lambda kept: kept.version)
+        return sorted(found, key=lambda row: row.version)
 
-    def _answer(
-        self, rows: list[Kept], status: int = 200, has_more: bool = False
+    def _respond(
+        self, rows: list[TableRow], status: int = 200, has_more: bool = False
     ) -> web.Response:
         body: dict[str, Any] = {
-            "rows": [_row(kept) for kept in rows],
+            "rows": [_row(row) for row in rows],
             "has_more": has_more,
             "schema_version": self.version,
             "current_time_s": time.monotonic(),
@@ -157,7 +157,16 @@
     return (row["table"], row["part"], row["key"])
 
 
-def _row(kept: Kept) -> dict[str, Any]:
-    table, part, key = kept.key
-    row = {"table": table, "part": part, "key": key, "schema_version": kept.version}
-    return {**row, "deleted": True} if kept.removed else {**row, "value": kept.value}
+def _row(table_row: TableRow) -> dict[str, Any]:
+    table, part, key = table_row.key
+    row_fields = {
+        "table": table,
+        "part": part,
+        "key": key,
+        "schema_version": table_row.version,
+    }
+    return (
+        {**row_fields, "deleted": True}
+        if table_row.removed
+        else {**row_fields, "value": table_row.value}
+    )
--- a/src/crocusspindle_standins/on_platform/target.py
+++ b/src/crocusspindle_standins/on_platform/target.py
@@ -1,4 +1,4 @@
-"""Stand in for a target on the platform: slots, gray windows, stamps."""
+"""Stand in for a target on the platform: slots, faults and response stamps."""
 
 import asyncio
 import json
@@ -15,27 +15,27 @@
 from crocusspindle_standins.on_platform.store import TableStore
 
 TABLE: Final = "servers"
-QUEUE: Final = 8
+MAX_QUEUED: Final = 8
 HANG_S: Final = 3600.0
 UNFRAMED_PAUSE_S: Final = 0.02
 
 
 CRASHING: Final = "crashes"
-"""A request whose path has this word ends the process that begins to run it."""
+"""A request whose path holds this word crashes the target that starts to run it."""
 
 SHUTDOWN_S: Final = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """Note which request that ends the target began to run, by the steady clock."""
+    """Record a request that crashed the target, and its monotonic start time."""
 
     path: str
     at_s: float
 
 
 class Trouble(Enum):
-    """Tell how a target treats its work."""
+    """Select how a target fails."""
 
     NONE = "none"
     RESETS = "resets"
@@ -50,7 +50,7 @@
 
 @dataclass
 class StampedTarget:
-    """Run requests in a few slots, and note what ran for whom."""
+    """Run requests in a few slots, and record what ran."""
 
     identity: str
     service: str
@@ -60,26 +60,26 @@
     limit: str | None = None
     withstands: bool = False
     arrived_s: list[float] = field(default_factory=list)
-    back_after_s: float = 1.0
+    restart_delay_s: float = 1.0
     trouble: Trouble = Trouble.NONE
     ran: Counter[str] = field(default_factory=Counter)
     seen: list[dict[str, str]] = field(default_factory=list)
     address: str = ""
     starts: int = 0
     crashes: list[Crash] = field(default_factory=list)
-    _present: int = 0
+    _in_flight: int = 0
     _sequence: int = 0
     _server: web.Server | None = None
     _runner: web.ServerRunner | None = None
     _restart: asyncio.Task[None] | None = None
 
     @property
-    def is_up(self) -> bool:
+    def is_listening(self) -> bool:
         """Return True while the target listens."""
         return self._runner is not None
 
     async def start(self, host: str, port: int = 0) -> None:
-        """Listen on a port of a host, on a free one unless it is named."""
+        """Listen on a port of a host; 0 picks a free one."""
         self.starts += 1
         self._server = web.Server(self._serve)
         self._runner = web.ServerRunner(self._server, shutdown_timeout=SHUTDOWN_S)
@@ -89,7 +89,7 @@
         self.address = f"{host}:{site.port}"
 
     async def stop(self) -> None:
-        """End as a crash does: without a word."""
+        """Abort all connections and stop listening, as a crash does."""
         if self._restart is not None:
             self._restart.cancel()
         await self._end()
@@ -106,17 +106,17 @@
         await runner.cleanup()
 
     async def _crash(self) -> None:
-        # Comes back at its address as another instance, as supervised processes do.
+        # Restarts at its address as a new instance, as a supervised process does.
         if self._runner is None:
             return
         host, _, port = self.address.rpartition(":")
         await self._end()
-        await asyncio.sleep(self.back_after_s)
+        await asyncio.sleep(self.restart_delay_s)
         self.identity = f"{self.identity.partition('.')[0]}.{self.starts}"
         await self.start(host, int(port))
 
-    async def beat(self, store: TableStore, state: str = "ready") -> None:
-        """Write the target's own entry."""
+    async def write_entry(self, store: TableStore, state: str = "ready") -> None:
+        """Write the target's own entry to the store, as its heartbeat."""
         self._sequence += 1
         entry = {
             "address": self.address,
@@ -138,13 +138,13 @@
         if request.headers.get("X-Expected-Instance") != self.identity:
             return web.Response(status=421, headers={"X-Instance-Id": self.identity})
         self.arrived_s.append(time.monotonic())
-        if self.trouble is Trouble.SHEDS or self._present >= self.slots + QUEUE:
+        if self.trouble is Trouble.SHEDS or self._in_flight >= self.slots + MAX_QUEUED:
             return web.Response(status=503, headers={"X-Not-Executed": "1"})
-        self._present += 1
+        self._in_flight += 1
         try:
             return await self._run(request)
         finally:
-            self._present -= 1
+            self._in_flight -= 1
 
     async def _run(self, request: web.BaseRequest) -> web.StreamResponse:
         request_id = request.headers["X-Request-Id"]
@@ -170,23 +170,23 @@
         if self.limit is not None:
             headers["Server-Limit"] = self.limit
         if self.trouble in (Trouble.UNFRAMED, Trouble.UNFRAMED_RESETS):
-            return await self._answer_unframed(request, headers)
-        answer = b"answer to " + request.path_qs.encode() + b" " + body
+            return await self._respond_unframed(request, headers)
+        response_body = b"answer to " + request.path_qs.encode() + b" " + body
         response = web.StreamResponse(headers=headers)
-        response.content_length = len(answer)
+        response.content_length = len(response_body)
         await response.prepare(request)
         if self.trouble is Trouble.CUTS:
-            await response.write(answer[:3])
+            await response.write(response_body[:3])
             if request.transport is not None:
                 request.transport.abort()
             return response
-        await response.write_eof(answer)
+        await response.write_eof(response_body)
         return response
 
-    async def _answer_unframed(
+    async def _respond_unframed(
         self, request: web.BaseRequest, headers: dict[str, str]
     ) -> web.StreamResponse:
-        # The end of the connection is the end of the answer, unless it is a reset.
+        # Closing the connection ends the response, unless it is a reset.
         transport = request.transport
         assert isinstance(transport, asyncio.Transport)
         head = "".join(f"{name}: {text}\r\n" for name, text in headers.items())
--- a/src/crocusspindle_standins/virtual/fleet.py
+++ b/src/crocusspindle_standins/virtual/fleet.py
@@ -1,4 +1,4 @@
-"""Start the nodes of a fleet in virtual time, and look at what they believe."""
+"""Run the nodes of a fleet in virtual time, and inspect their state."""
 
 import asyncio
 import json
@@ -36,38 +36,38 @@
 )
 
 PEER_PORT: Final = 7_340
-START_WITHIN_S: Final = 0.3
+START_SPREAD_S: Final = 0.3
 DOMAINS: Final = ("a", "b", "c", "d")
 ROUTES: Final = 60
 
 
 @dataclass(frozen=True, slots=True)
 class HostSize:
-    """Hold what a host can carry."""
+    """Hold a host's capacity."""
 
     link_mbit_s: float
     cores: float = 1.0
 
     @property
     def capacity(self) -> int:
-        """Return what the host tells of itself."""
+        """Return the capacity that the host reports."""
         return round(min(self.link_mbit_s, self.cores * HUNDREDTHS))
 
 
 class Node:
-    """Run the services of one host that keep its beliefs fresh."""
+    """Run the services of one host that keep its fleet state fresh."""
 
     def __init__(
         self,
         address: NodeAddress,
         size: HostSize,
         store: Store,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self.address = address
         platform = StoreClient(store, address.host)
         metrics = Metrics(address.host, address.domain)
-        self.exchange = Exchange((address.ip, address.peer_port), draw, metrics)
+        self.exchange = Exchange((address.ip, address.peer_port), rng, metrics)
         self.knowledge = Knowledge(platform.parse_configuration)
         self.reading = Reading(platform, self.knowledge)
         self.crashes = CrashSharing(self.exchange, self.knowledge, metrics)
@@ -78,14 +78,14 @@
             self.knowledge,
             self.reading,
             set,
-            ReaderChoice(address.host, draw),
+            ReaderChoice(address.host, rng),
             ByteRateLimiter(size.link_mbit_s * BYTES_PER_MS * CONTENTS_LINK_PART),
-            draw,
+            rng,
         )
         self.membership.is_ready = lambda: self.knowledge.view.content is not None
 
     async def start(self) -> None:
-        """Start the services in their order."""
+        """Start the services in order of dependency."""
         for service in (
             self.exchange,
             self.reading,
@@ -95,7 +95,7 @@
             await service.start()
 
     async def kill(self) -> None:
-        """End all at once, as a killed process would."""
+        """End all services at once, as a killed process does."""
         await self.exchange.stop()
         for service in (
             self.crashes,
@@ -112,7 +112,7 @@
     def __init__(
         self, loop: VirtualLoop, sizes: Sequence[HostSize], targets: int, seed: int
     ) -> None:
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self.store = Store()
         self.network = Network(loop)
         loop.network = self.network
@@ -126,7 +126,7 @@
 
     def _list_target(self, number: int) -> None:
         target = ListedTarget(
-            TargetIdentity(f"i-{self._draw.getrandbits(40):010x}"),
+            TargetIdentity(f"i-{self._rng.getrandbits(40):010x}"),
             ServiceId(f"service-{number % 3}"),
             f"10.9.{number // 250}.{number % 250}:8422",
             DomainId(DOMAINS[number % len(DOMAINS)]),
@@ -137,8 +137,8 @@
         self.store.put(Table.TARGETS, target.identity, target_row(target))
 
     def configure(self, routes: int) -> None:
-        """Write a configuration that takes some twelve words a route."""
-        words = (f"{self._draw.getrandbits(40):010x}" for _ in range(routes * 12))
+        """Write a configuration of about twelve words per route."""
+        words = (f"{self._rng.getrandbits(40):010x}" for _ in range(routes * 12))
         self._versions += 1
         document = {
             "version": f"{self._versions:08}",
@@ -151,65 +151,65 @@
         self.store.put(Table.CONFIGURATION, CONFIGURATION_KEY, value)
 
     def replace_targets(self, count: int) -> None:
-        """Take targets off the list and put others in their place."""
+        """Replace random targets of the list with new ones."""
         for _ in range(count):
-            number = self._draw.randrange(len(self._targets))
+            number = self._rng.randrange(len(self._targets))
             self.store.put(Table.TARGETS, self._targets.pop(number), None)
             self._list_target(number)
 
     async def start_all(self) -> None:
-        """Start all hosts, as a platform does: within 0.3 s, in any order."""
+        """Start all hosts as a platform does: within 0.3 s, in random order."""
         names = list(self.sizes)
-        self._draw.shuffle(names)
+        self._rng.shuffle(names)
         for name in names:
-            await asyncio.sleep(START_WITHIN_S / len(names))
+            await asyncio.sleep(START_SPREAD_S / len(names))
             await self.start(name)
 
     async def start(self, name: str) -> None:
-        """Start a process on a host."""
+        """Start a new process on a host."""
         number = list(self.sizes).index(name)
         ip = f"10.1.{number // 250}.{number % 250}"
         self.network.links.setdefault(ip, Link(self.sizes[name].link_mbit_s))
         address = NodeAddress(
             HostId(name),
-            Incarnation(f"{self._draw.getrandbits(32):08x}"),
+            Incarnation(f"{self._rng.getrandbits(32):08x}"),
             ip,
             PEER_PORT,
             DomainId(DOMAINS[number % len(DOMAINS)]),
             f"{ip}:8782",
             self.sizes[name].capacity,
         )
-        self.nodes[name] = Node(address, self.sizes[name], self.store, self._draw)
+        self.nodes[name] = Node(address, self.sizes[name], self.store, self._rng)
         await self.nodes[name].start()
 
     async def kill(self, name: str) -> None:
-        """Kill the process on a host; it leaves without a word."""
+        """Kill the process on a host without a shutdown."""
         await self.nodes.pop(name).kill()
 
     def cut_off(self, name: str) -> None:
-        """Cut a host off from all others; it still reaches the store."""
+        """Cut a host off from all other hosts; it still reaches the store."""
         self.network.cut_off.add(self.nodes[name].address.ip)
 
     def rejoin(self, name: str) -> None:
-        """End a host's cut."""
+        """Reconnect a host that was cut off."""
         self.network.cut_off.discard(self.nodes[name].address.ip)
 
     def views(self) -> Counter[int]:
-        """Return how many nodes have each view in force."""
+        """Return how many nodes have each view version in force."""
         return Counter(node.knowledge.view.version for node in self.nodes.values())
 
     def named(self) -> int:
-        """Return how many running processes the store's view names."""
+        """Return how many running processes the store's view lists."""
         row = self.store.tables[Table.FLEET].get("view")
         if row is None or row.value is None:
             return 0
         _, entries, _ = json.loads(row.value)
-        named = {seat[1] for seat in entries}
+        listed = {entry[1] for entry in entries}
         running = {node.address.incarnation for node in self.nodes.values()}
-        return len(named & running)
+        return len(listed & running)
 
     def readers(self) -> list[str]:
-        """Return the hosts that read the store now."""
+        """Return the hosts that are reading the store."""
         return [name for name, node in self.nodes.items() if node.reading.active]
 
     def sent(self) -> int:
--- a/src/crocusspindle_standins/virtual/loop.py
+++ b/src/crocusspindle_standins/virtual/loop.py
@@ -1,4 +1,4 @@
-"""Run asyncio in virtual time: a wait costs nothing, and the clock jumps over it."""
+"""Run asyncio in virtual time: the clock advances over waits without sleeping."""
 
 import asyncio
 import selectors
@@ -7,11 +7,11 @@
 from typing import Any, Final, Protocol
 
 START_S: Final = 1_000.0
-"""Where the virtual clock begins: times before it are not negative."""
+"""The virtual clock's start; above 0, so that times before it are not negative."""
 
 
 class DatagramNetwork(Protocol):
-    """Open sockets of a network that is not there."""
+    """Open sockets of a simulated network."""
 
     def open(
         self, protocol: asyncio.DatagramProtocol, address: tuple[str, int]
@@ -19,8 +19,8 @@
         """Return the transport of a socket at an address."""
 
 
-class _Selector(selectors.BaseSelector):
-    """Wait for nothing, and move the clock on instead."""
+class _VirtualSelector(selectors.BaseSelector):
+    """Advance the clock in place of waiting."""
 
     def __init__(self) -> None:
         self._keys: dict[int, selectors.SelectorKey] = {}
@@ -29,20 +29,20 @@
     def register(
         self, fileobj: Any, events: int, data: Any = None
     ) -> selectors.SelectorKey:
-        number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
-        key = selectors.SelectorKey(fileobj, number, events, data)
-        self._keys[number] = key
+        descriptor = fileobj if isinstance(fileobj, int) else fileobj.fileno()
+        key = selectors.SelectorKey(fileobj, descriptor, events, data)
+        self._keys[descriptor] = key
         return key
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
-        return self._keys.pop(number)
+        descriptor = fileobj if isinstance(fileobj, int) else fileobj.fileno()
+        return self._keys.pop(descriptor)
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("all tasks wait, and no timer is set")
+            raise RuntimeError("all tasks are waiting and no timer is set")
         self.now_s += max(0.0, timeout)
         return []
 
@@ -51,19 +51,19 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Run tasks one after the other on a clock of its own."""
+    """Run tasks on a virtual clock."""
 
     def __init__(self) -> None:
-        self._virtual = _Selector()
-        super().__init__(self._virtual)
+        self._virtual_selector = _VirtualSelector()
+        super().__init__(self._virtual_selector)
         self._clock_resolution = 1e-9
         self.network: DatagramNetwork | None = None
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._virtual.now_s
+        return self._virtual_selector.now_s
 
-    # The real one takes more ways to name a socket than nodes use.
+    # The base method accepts more kinds of address than nodes use.
     async def create_datagram_endpoint(  # type: ignore[override]
         self,
         protocol_factory: Callable[[], asyncio.DatagramProtocol],
@@ -72,19 +72,19 @@
     ) -> tuple[asyncio.DatagramTransport, asyncio.DatagramProtocol]:
         """Open a socket of the virtual network."""
         if self.network is None or local_addr is None:
-            raise OSError("the loop has no network")
+            raise OSError("the loop has no network or no local address is given")
         protocol = protocol_factory()
         transport = self.network.open(protocol, local_addr)
         protocol.connection_made(transport)
         return transport, protocol
 
 
-DAY_BEGAN_S: Final = 1e9
-"""The virtual time of day at which all loops begin."""
+START_UNIX_S: Final = 1e9
+"""The Unix time at zero of the virtual clock."""
 
 
 class VirtualTime:
-    """Stand in for the module ``time`` where the product reads its clock."""
+    """Replace the module ``time`` where the product reads its clock."""
 
     CLOCK_BOOTTIME: Final = time.CLOCK_BOOTTIME
 
@@ -96,23 +96,23 @@
         return int(self._loop.time() * 1e9)
 
     def time(self) -> float:
-        """Return the virtual time of day in seconds."""
-        return DAY_BEGAN_S + self._loop.time()
+        """Return the virtual Unix time in seconds."""
+        return START_UNIX_S + self._loop.time()
 
 
 def run(loop: VirtualLoop, work: Awaitable[None]) -> None:
-    """Run work to its end, then end what it left behind."""
+    """Run work to completion, then cancel the tasks that remain."""
 
-    async def whole() -> None:
+    async def run_then_cancel_tasks() -> None:
         try:
             await work
         finally:
-            left = asyncio.all_tasks() - {asyncio.current_task()}
-            for task in left:
+            remaining = asyncio.all_tasks() - {asyncio.current_task()}
+            for task in remaining:
                 task.cancel()
-            await asyncio.gather(*left, return_exceptions=True)
+            await asyncio.gather(*remaining, return_exceptions=True)
 
     try:
-        loop.run_until_complete(whole())
+        loop.run_until_complete(run_then_cancel_tasks())
     finally:
         loop.close()
--- a/src/crocusspindle_standins/virtual/network.py
+++ b/src/crocusspindle_standins/virtual/network.py
@@ -1,4 +1,4 @@
-"""Carry datagrams between virtual hosts over links of their own."""
+"""Simulate datagrams between virtual hosts, each with its own link."""
 
 import asyncio
 from collections import Counter
@@ -9,34 +9,34 @@
 
 Address = tuple[str, int]
 
-WAY_S: Final = 0.0015
-HEAD_BYTES: Final = 42
-"""What a datagram takes on the link beside its content."""
+PROPAGATION_DELAY_S: Final = 0.0015
+HEADER_BYTES: Final = 42
+"""Bytes of headers on the link for each datagram."""
 
 DATAGRAM_MAX_BYTES: Final = 65_507
-QUEUE_S: Final = 2.0
-"""A link that is further behind drops what comes."""
+MAX_BACKLOG_S: Final = 2.0
+"""A link with a longer backlog drops new datagrams."""
 
 
 @dataclass(slots=True)
 class Link:
-    """Hold one host's link and how far it is behind, each way."""
+    """Hold one host's link and when each direction becomes free."""
 
     mbit_s: float
-    out_free_s: float = 0.0
-    in_free_s: float = 0.0
+    uplink_free_s: float = 0.0
+    downlink_free_s: float = 0.0
     sent: int = 0
     sent_bytes: int = 0
     dropped: int = 0
     kinds: Counter[int] = field(default_factory=Counter)
 
-    def seconds(self, length: int) -> float:
-        """Return how long the link takes for a datagram."""
-        return (length + HEAD_BYTES) * 8 / (self.mbit_s * 1e6)
+    def transmission_s(self, length: int) -> float:
+        """Return the transmission time of a datagram."""
+        return (length + HEADER_BYTES) * 8 / (self.mbit_s * 1e6)
 
 
 class Network:
-    """Hand datagrams from host to host, as late as their links make them."""
+    """Deliver datagrams between hosts with the delay of their links."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self._loop = loop
@@ -55,27 +55,33 @@
         """Close the socket at an address."""
         self._protocols.pop(address, None)
 
-    def send(self, sender: Address, to: Address, data: bytes) -> None:
-        """Put a datagram on its way, if there is one."""
-        if len(data) > DATAGRAM_MAX_BYTES or {sender[0], to[0]} & self.cut_off:
+    def send(self, sender: Address, receiver: Address, data: bytes) -> None:
+        """Send a datagram; drop it if too long, cut off or behind a long backlog."""
+        if len(data) > DATAGRAM_MAX_BYTES or {sender[0], receiver[0]} & self.cut_off:
             return
         now_s = self._loop.time()
-        out, into = self.links[sender[0]], self.links[to[0]]
-        if out.out_free_s > now_s + QUEUE_S:
-            out.dropped += 1
+        uplink, downlink = self.links[sender[0]], self.links[receiver[0]]
+        if uplink.uplink_free_s > now_s + MAX_BACKLOG_S:
+            uplink.dropped += 1
             return
-        out.sent += 1
-        out.sent_bytes += len(data)
-        out.out_free_s = max(now_s, out.out_free_s) + out.seconds(len(data))
-        comes_s = out.out_free_s + WAY_S
-        if into.in_free_s > comes_s + QUEUE_S:
-            into.dropped += 1
+        uplink.sent += 1
+        uplink.sent_bytes += len(data)
+        uplink.uplink_free_s = max(now_s, uplink.uplink_free_s) + uplink.transmission_s(
+            len(data)
+        )
+        arrival_s = uplink.uplink_free_s + PROPAGATION_DELAY_S
+        if downlink.downlink_free_s > arrival_s + MAX_BACKLOG_S:
+            downlink.dropped += 1
             return
-        into.in_free_s = max(comes_s, into.in_free_s) + into.seconds(len(data))
-        self._loop.call_at(into.in_free_s, self._deliver, sender, to, data)
-
-    def _deliver(self, sender: Address, to: Address, data: bytes) -> None:
-        protocol = self._protocols.get(to)
+        downlink.downlink_free_s = max(
+            arrival_s, downlink.downlink_free_s
+        ) + downlink.transmission_s(len(data))
+        self._loop.call_at(
+            downlink.downlink_free_s, self._deliver, sender, receiver, data
+        )
+
+    def _deliver(self, sender: Address, receiver: Address, data: bytes) -> None:
+        protocol = self._protocols.get(receiver)
         if protocol is not None:
             protocol.datagram_received(data, sender)
 
--- a/src/crocusspindle_standins/virtual/store.py
+++ b/src/crocusspindle_standins/virtual/store.py
@@ -1,4 +1,4 @@
-"""Keep the platform's tables in memory, for nodes in virtual time."""
+"""Hold the platform's tables in memory for nodes in virtual time."""
 
 import asyncio
 import json
@@ -15,15 +15,15 @@
 from crocusspindle.platform.fleet_platform import Changes, StoredRow, Table
 
 CALL_S: Final = 0.01
-WRITES_WAITING_S: Final = 1.0
-LEAST_WAIT_S: Final = 1e-6
-"""A shorter wait is lost in the rounding of the clock, and would never end."""
+MAX_WRITE_BACKLOG_S: Final = 1.0
+MIN_WAIT_S: Final = 1e-6
+"""A shorter wait is lost to rounding of the clock and would never end."""
 
 CONFIGURATION_KEY: Final = "config"
 
 
 class Store:
-    """Hold rows, and count the calls of each host."""
+    """Hold rows and count the calls of each host."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -33,29 +33,29 @@
         self.writes_per_s = math.inf
         self.refused_writes = 0
         self._writes_end_s = 0.0
-        self._news = asyncio.Event()
+        self._row_written = asyncio.Event()
 
     def put(self, table: Table, key: str, value: bytes | None) -> int:
-        """Write a row and return the version."""
+        """Write or remove a row and return the new version."""
         self.version += 1
         self.tables[table][key] = StoredRow(key, self.version, value)
-        self._news.set()
-        self._news = asyncio.Event()
+        self._row_written.set()
+        self._row_written = asyncio.Event()
         return self.version
 
-    async def write_turn(self) -> None:
-        """Wait for the writes before this one; refuse it if a second of them waits."""
+    async def admit_write(self) -> None:
+        """Wait for earlier writes; refuse this one if a second of them is queued."""
         now_s = asyncio.get_running_loop().time()
-        if self._writes_end_s > now_s + WRITES_WAITING_S:
+        if self._writes_end_s > now_s + MAX_WRITE_BACKLOG_S:
             self.refused_writes += 1
-            raise PlatformUnavailableError("too many writes wait")
+            raise PlatformUnavailableError("too many writes are queued")
         self._writes_end_s = max(now_s, self._writes_end_s) + 1.0 / self.writes_per_s
         await asyncio.sleep(self._writes_end_s - now_s)
 
-    async def changed(self, wait_s: float) -> None:
-        """Wait until a row is written, for a time at most."""
+    async def wait_for_change(self, wait_s: float) -> None:
+        """Wait until a row is written or the time is over."""
         try:
-            await asyncio.wait_for(self._news.wait(), wait_s)
+            await asyncio.wait_for(self._row_written.wait(), wait_s)
         except TimeoutError:
             return
 
@@ -69,7 +69,7 @@
 
     @classmethod
     def from_config(cls, options: Mapping[str, Any]) -> Self:
-        """Build the client of a store that the options hold."""
+        """Build a client of the store in the options."""
         return cls(options["store"], options["host"])
 
     async def _call(self) -> None:
@@ -83,38 +83,38 @@
         return Changes(rows, self._store.version)
 
     async def follow(self, table: Table, after: int, wait_ms: float) -> Changes:
-        """Return what changed after a version, at once or when something does."""
+        """Return rows changed after a version; wait for a change if there is none."""
         await self._call()
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + wait_ms / 1e3
+        deadline_s = loop.time() + wait_ms / 1e3
         while True:
             rows = [r for r in self._store.tables[table].values() if r.version > after]
-            left_s = ends_s - loop.time()
-            if rows or left_s <= LEAST_WAIT_S:
+            remaining_s = deadline_s - loop.time()
+            if rows or remaining_s <= MIN_WAIT_S:
                 rows.sort(key=lambda row: row.version)
                 return Changes(rows, self._store.version)
-            await self._store.changed(left_s)
+            await self._store.wait_for_change(remaining_s)
 
     async def put(self, key: str, value: bytes, expected: int | None) -> int | None:
         """Write a row of the fleet's table; return its version, None on conflict."""
         await self._call()
-        await self._store.write_turn()
-        held = self._store.tables[Table.FLEET].get(key)
-        if expected is not None and expected != (held.version if held else 0):
+        await self._store.admit_write()
+        stored = self._store.tables[Table.FLEET].get(key)
+        if expected is not None and expected != (stored.version if stored else 0):
             return None
         return self._store.put(Table.FLEET, key, value)
 
     def configuration(self, rows: Sequence[StoredRow]) -> bytes | None:
-        """Return the newest value of the row that holds the configuration."""
+        """Return the newest value of the configuration's row."""
         values = [row.value for row in rows if row.key == CONFIGURATION_KEY]
         return values[-1] if values else None
 
     def parse_configuration(self, value: bytes) -> Configuration:
-        """Parse a configuration in the platform's form."""
+        """Parse a configuration in the platform's format."""
         return parse_configuration(value)
 
     def parse_target(self, key: str, value: bytes) -> ListedTarget | None:
-        """Return the target of a row as `target_row` wrote it."""
+        """Parse a target's row as ``target_row`` writes it."""
         service, address, domain, slots, readiness = json.loads(value)
         return ListedTarget(
             TargetIdentity(key),
@@ -129,15 +129,15 @@
         """Release nothing."""
 
 
-class AbsentStore(StoreClient):
-    """Answer no call: the host is cut off from the store."""
+class UnreachableStoreClient(StoreClient):
+    """Fail every call, as for a host cut off from the store."""
 
     async def _call(self) -> None:
         await asyncio.sleep(1.0)
-        raise PlatformUnavailableError("the store is out of reach")
+        raise PlatformUnavailableError("the store is unreachable")
 
 
 def target_row(target: ListedTarget) -> bytes:
-    """Return the row of a target."""
+    """Encode the row of a target."""
     fields = (target.service, target.address, target.domain, target.slots)
     return json.dumps([*fields, target.readiness.value]).encode()
