--- a/scripts/build_binary.py
+++ b/scripts/build_binary.py
@@ -42,7 +42,7 @@
 
 
 def distribution_files(name: str, version: str) -> list[BundledFile]:
-    """Return the files of one distribution; exit if its version is not the locked one."""
+    """Return the files of one distribution; exit if the version is not locked."""
     distribution = metadata.distribution(name)
     if distribution.version != version:
         sys.exit(f"{name} is {distribution.version}, the lock file has {version}")
--- a/src/crocusspindle_standins/demo.py
+++ b/src/crocusspindle_standins/demo.py
@@ -204,7 +204,7 @@
         self.injected_faults.gray_target = target.name
         self.injected_faults.gray_unix_s = time.time()
         self.print_line(
-            f"{target.name} of {service} fails 30 % of its work, but passes health checks"
+            f"{target.name} of {service} fails 30 % of its work; health checks pass"
         )
 
     async def _report(self) -> dict[str, Any]:
