--- a/src/crocusspindle/gateway/admission.py
+++ b/src/crocusspindle/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Check a caller's request against the configuration before anything is spent on it."""
+"""Check a caller's request against the configuration before it costs resources."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,25 +11,25 @@
 from crocusspindle.core.configuration import Configuration, CustomerRule, RouteRule
 from crocusspindle.core.request_content import content_digest
 from crocusspindle.gateway.answers import Refusal
-from crocusspindle.gateway.case import BODY_BUFFER_BYTES, Case
+from crocusspindle.gateway.case import BODY_BUFFER_BYTES, RequestContext
 from crocusspindle.gateway.dialect import Dialect
 from crocusspindle.gateway.knowledge import Knowledge
 from crocusspindle.gateway.reload import LiveBounds
-from crocusspindle.gateway.sender import Outgoing
+from crocusspindle.gateway.sender import OutgoingRequest
 from crocusspindle.services.targets import forwarded
 
-PROOF_MARGIN_MS: Final = 200.0
-"""Kept from the time to a withdrawal's end for a request on its way to the check."""
+CONFIRMATION_MARGIN_MS: Final = 200.0
+"""Part of the key revocation time reserved for a request on its way to the check."""
 
-PATIENCE_MS: Final = 60_000.0
-"""The time of a caller that does not say how long it waits."""
+DEFAULT_TIMEOUT_MS: Final = 60_000.0
+"""Timeout of a caller that sends no valid timeout header."""
 
-FINISH_MS: Final = 5.0
-"""Kept for the answer to reach the caller within the route's time."""
+RESPONSE_MARGIN_MS: Final = 5.0
+"""Part of the route's timeout reserved for delivering the response to the caller."""
 
 
 class Admission:
-    """Find a request's route and customer, and take its body."""
+    """Find a request's route and customer, and read its body."""
 
     def __init__(
         self, bounds: LiveBounds, dialect: Dialect, knowledge: Knowledge
@@ -40,8 +40,8 @@
 
     async def admit(
         self, request: web.BaseRequest, request_id: str, began_ms: float
-    ) -> Case:
-        """Return what is known of a request; raise ``Refusal`` if it may not run."""
+    ) -> RequestContext:
+        """Return the context of a request; raise ``Refusal`` if it may not run."""
         configuration = await self._knowledge.first_configuration()
         if configuration is None:
             raise Refusal(503, "no-configuration", 500.0)
@@ -49,14 +49,16 @@
         customer = self._customer(configuration, route, request)
         self._check_length(configuration, request)
         time_left_ms = self._time_left_ms(request)
-        ends_ms = began_ms + min(time_left_ms, route.timeout_ms - FINISH_MS)
-        first = await self._first_part(configuration, request, ends_ms)
-        body: bytes | AsyncIterator[bytes] | None = first
-        length = len(first or b"")
-        if first is not None and length > BODY_BUFFER_BYTES:
-            body = _streamed(first, request, configuration.limits.body_bytes)
+        deadline_ms = began_ms + min(
+            time_left_ms, route.timeout_ms - RESPONSE_MARGIN_MS
+        )
+        prefix = await self._read_prefix(configuration, request, deadline_ms)
+        body: bytes | AsyncIterator[bytes] | None = prefix
+        length = len(prefix or b"")
+        if prefix is not None and length > BODY_BUFFER_BYTES:
+            body = _stream_body(prefix, request, configuration.limits.body_bytes)
             length = request.content_length or 0
-        outgoing = Outgoing(
+        outgoing = OutgoingRequest(
             request_id,
             request.method,
             request.raw_path,
@@ -68,13 +70,15 @@
             route.host,
             request.raw_path,
             customer.customer if customer is not None else None,
-            (first or b"")[:BODY_BUFFER_BYTES],
+            (prefix or b"")[:BODY_BUFFER_BYTES],
             length,
         )
-        return Case(request_id, route, customer, outgoing, content, began_ms, ends_ms)
+        return RequestContext(
+            request_id, route, customer, outgoing, content, began_ms, deadline_ms
+        )
 
     def is_idempotent(self, request: web.BaseRequest) -> bool:
-        """Return True if a request is known to be one that may run more than once."""
+        """Return True if a request is known to have no body and an idempotent route."""
         configuration = self._knowledge.configuration.content
         if configuration is None or request.body_exists:
             return False
@@ -92,8 +96,8 @@
         route = configuration.route(name, path)
         if route is not None:
             return route
-        if self._is_old(self._knowledge.configuration.age_ms(now_ms())):
-            # A newer version may hold the route; only the newest may say no.
+        if self._is_stale(self._knowledge.configuration.age_ms(now_ms())):
+            # A newer version may define the route, so stale state can't answer 404.
             raise Refusal(503, "old-configuration", 500.0)
         raise Refusal(404, "no-route")
 
@@ -106,18 +110,18 @@
         if route.public or not configuration.customers:
             return None
         age_ms = self._knowledge.configuration.age_ms(now_ms())
-        allowed_ms = self._bounds.now.revocation_ms - PROOF_MARGIN_MS
+        allowed_ms = self._bounds.now.revocation_ms - CONFIRMATION_MARGIN_MS
         if self._bounds.now.fail_closed and age_ms > allowed_ms:
-            # The key may have been withdrawn without this node's knowing.
+            # The key may have been withdrawn without this node learning of it.
             raise Refusal(503, "proof-too-old", 1_000.0, {"proof_age_ms": age_ms})
         rule = configuration.customer_of(request.headers.get(self._dialect.key, ""))
         if rule is not None:
             return rule
-        if self._is_old(age_ms):
+        if self._is_stale(age_ms):
             raise Refusal(503, "old-configuration", 500.0, {"proof_age_ms": age_ms})
         raise Refusal(401, "unknown-key")
 
-    def _is_old(self, age_ms: float) -> bool:
+    def _is_stale(self, age_ms: float) -> bool:
         return age_ms > self._bounds.now.propagation_ms
 
     @staticmethod
@@ -131,29 +135,29 @@
         try:
             return max(0.0, float(text))
         except ValueError:
-            return PATIENCE_MS
+            return DEFAULT_TIMEOUT_MS
 
-    async def _first_part(
-        self, configuration: Configuration, request: web.BaseRequest, ends_ms: float
+    async def _read_prefix(
+        self, configuration: Configuration, request: web.BaseRequest, deadline_ms: float
     ) -> bytes | None:
-        """Return the whole body, or the first part of one that is too long to hold."""
+        """Return the whole body, or the prefix of one that is too long to buffer."""
         if not request.body_exists:
             return None
-        await _invite_body(request)
-        first = bytearray()
+        await _send_continue(request)
+        prefix = bytearray()
         limit = configuration.limits.body_bytes
-        while len(first) <= BODY_BUFFER_BYTES:
-            part = await self._part(request, ends_ms)
-            if not part:
+        while len(prefix) <= BODY_BUFFER_BYTES:
+            chunk = await self._read_chunk(request, deadline_ms)
+            if not chunk:
                 break
-            first += part
-            if len(first) > limit:
+            prefix += chunk
+            if len(prefix) > limit:
                 raise Refusal(413, "body-too-long")
-        return bytes(first)
+        return bytes(prefix)
 
     @staticmethod
-    async def _part(request: web.BaseRequest, ends_ms: float) -> bytes:
-        left_s = max(0.0, (ends_ms - now_ms()) / 1e3)
+    async def _read_chunk(request: web.BaseRequest, deadline_ms: float) -> bytes:
+        left_s = max(0.0, (deadline_ms - now_ms()) / 1e3)
         try:
             async with asyncio.timeout(left_s):
                 return await request.content.readany()
@@ -178,21 +182,21 @@
         return headers
 
 
-async def _invite_body(request: web.BaseRequest) -> None:
-    # Some callers send a long body only once they hear that it is wanted, and would
-    # wait out a second or more of their time otherwise.
+async def _send_continue(request: web.BaseRequest) -> None:
+    # Some callers send a long body only after "100 Continue", and otherwise wait for
+    # a second or more of their timeout.
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         request.writer.output_size = 0
 
 
-async def _streamed(
-    first: bytes, request: web.BaseRequest, limit: int
+async def _stream_body(
+    prefix: bytes, request: web.BaseRequest, limit: int
 ) -> AsyncIterator[bytes]:
-    yield first
-    length = len(first)
-    async for part in request.content.iter_any():
-        length += len(part)
+    yield prefix
+    length = len(prefix)
+    async for chunk in request.content.iter_any():
+        length += len(chunk)
         if length > limit:
-            raise ValueError("the body is longer than the limit")
-        yield part
+            raise ValueError("request body exceeds the size limit")
+        yield chunk
--- a/src/crocusspindle/gateway/answers.py
+++ b/src/crocusspindle/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Answer callers: a target's whole answer, or why there is none."""
+"""Respond to callers: forward a target's response, or state why there is none."""
 
 import asyncio
 from collections.abc import Mapping
@@ -9,15 +9,15 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.errors import CrocusspindleError
 from crocusspindle.gateway.dialect import Dialect
-from crocusspindle.gateway.sender import READ_BYTES, Answer
+from crocusspindle.gateway.sender import READ_BYTES, TargetResponse
 
-RETRYABLE: Final = frozenset({429, 503})
-CLOSING: Final = frozenset({400, 408, 413})
-"""After these the rest of the request may still be on its way."""
+RETRYABLE_STATUSES: Final = frozenset({429, 503})
+CLOSING_STATUSES: Final = frozenset({400, 408, 413})
+"""After these statuses the rest of the request may still be arriving."""
 
 
 class Refusal(CrocusspindleError):
-    """End a request with an answer of the fleet's own."""
+    """End a request with a response of the fleet itself."""
 
     def __init__(
         self,
@@ -30,54 +30,58 @@
         self.status = status
         self.reason = reason
         self.retry_after_ms = retry_after_ms
-        self.case_fields: Mapping[str, object] = fields or {}
+        self.context_fields: Mapping[str, object] = fields or {}
 
 
 def refusal_response(
     refusal: Refusal, request_id: str, dialect: Dialect
 ) -> web.Response:
-    """Return the answer of a refusal; the text tells the reason."""
+    """Return the response for a refusal, with the reason as its body."""
     response = web.Response(status=refusal.status, text=f"{refusal.reason}\n")
     if request_id:
         response.headers[dialect.request_id] = request_id
-    if refusal.status in RETRYABLE and refusal.retry_after_ms is not None:
+    if refusal.status in RETRYABLE_STATUSES and refusal.retry_after_ms is not None:
         response.headers["Retry-After"] = f"{refusal.retry_after_ms / 1e3:.3f}"
-    if refusal.status in CLOSING:
+    if refusal.status in CLOSING_STATUSES:
         response.force_close()
     return response
 
 
-async def send_answer(
-    request: web.BaseRequest, answer: Answer, ends_ms: float
+async def send_target_response(
+    request: web.BaseRequest, target_response: TargetResponse, deadline_ms: float
 ) -> web.StreamResponse:
-    """Pass a target's answer on; break the connection if it breaks off."""
-    if answer.rest is None:
-        response = web.Response(status=answer.status, body=answer.body)
-        _copy_headers(answer, response)
+    """Forward a target's response; abort the connection if it is truncated."""
+    if target_response.rest is None:
+        response = web.Response(
+            status=target_response.status, body=target_response.body
+        )
+        _copy_headers(target_response, response)
         return response
-    stream = web.StreamResponse(status=answer.status)
-    _copy_headers(answer, stream)
+    stream = web.StreamResponse(status=target_response.status)
+    _copy_headers(target_response, stream)
     try:
         await stream.prepare(request)
-        await stream.write(answer.body)
-        async with asyncio.timeout(max(0.0, (ends_ms - now_ms()) / 1e3)):
-            while part := await answer.rest.content.read(READ_BYTES):
-                await stream.write(part)
+        await stream.write(target_response.body)
+        async with asyncio.timeout(max(0.0, (deadline_ms - now_ms()) / 1e3)):
+            while chunk := await target_response.rest.content.read(READ_BYTES):
+                await stream.write(chunk)
         await stream.write_eof()
     except BaseException:
-        # An answer that ends early must not look complete.
+        # A truncated response must not look complete.
         if request.transport is not None:
             request.transport.abort()
         raise
     finally:
-        answer.rest.close()
+        target_response.rest.close()
     return stream
 
 
-def _copy_headers(answer: Answer, response: web.StreamResponse) -> None:
-    whole = answer.rest is None
+def _copy_headers(
+    target_response: TargetResponse, response: web.StreamResponse
+) -> None:
+    complete = target_response.rest is None
     response.headers.popall("Content-Type", None)
-    for name, text in answer.headers:
-        if whole and name.lower() == "content-length":
+    for name, text in target_response.headers:
+        if complete and name.lower() == "content-length":
             continue
         response.headers.add(name, text)
--- a/src/crocusspindle/gateway/caller_port.py
+++ b/src/crocusspindle/gateway/caller_port.py
@@ -1,9 +1,9 @@
-"""Take callers' connections, within the limits of the configuration.
+"""Accept callers' connections, within the limits of the configuration.
 
-Callers send further requests before the first is answered. The HTTP library handles one
-after the other, so a look-up behind one that meets a slow target would be late before
-it was sent. Those that may be repeated are begun as soon as they are read; answers
-still leave in the order of the requests.
+Callers pipeline requests. The HTTP library handles them one after the other, so a
+request behind one that meets a slow target would miss its deadline before it was sent.
+Idempotent requests are started as soon as they are read; responses still leave in the
+order of the requests.
 """
 
 import asyncio
@@ -15,29 +15,35 @@
 from aiohttp.http_writer import StreamWriter
 
 from crocusspindle.core.configuration import CallerLimits
-from crocusspindle.gateway.entry import Entry, Obtained
+from crocusspindle.gateway.entry import Entry, ProcessedRequest
 
 Limits = Callable[[], CallerLimits]
 
 SERVER_ERROR: Final = 500
 LINGER_S: Final = 2.0
-"""How long to read on what a caller sends after its answer: a connection closed with
-unread bytes is reset, and the caller would lose the answer."""
+"""How long to read what a caller sends after its response: closing a connection with
+unread bytes resets it, and the caller would lose the response."""
 
-HEADERS_MAX: Final = 256
+MAX_HEADERS: Final = 256
 
 TIMER_EARLY_S: Final = 0.002
 """The event loop counts in milliseconds and calls some timers up to one early."""
 
-AHEAD_MAX: Final = 8
-"""Requests of one connection that are begun before their turn: one caller is not to
-take the slots of many others."""
+MAX_STARTED_EARLY: Final = 8
+"""Pipelined requests of one connection that are started early. The limit keeps one
+caller from taking the slots of many others."""
 
 
 class CallerProtocol(web.RequestHandler):
     """Serve one connection of a caller."""
 
-    __slots__ = ("_begun", "_close_is_due", "_entry", "_first_request_timer", "_limits")
+    __slots__ = (
+        "_close_pending",
+        "_entry",
+        "_first_request_timer",
+        "_limits",
+        "_started_early",
+    )
 
     def __init__(self, manager: web.Server, entry: Entry, limits: CallerLimits) -> None:
         super().__init__(
@@ -47,22 +53,22 @@
             access_log=None,  # type: ignore[arg-type]  # None turns it off
             max_line_size=limits.header_bytes,
             max_field_size=limits.header_bytes,
-            max_headers=HEADERS_MAX,
+            max_headers=MAX_HEADERS,
             lingering_time=LINGER_S,
             auto_decompress=False,
         )
         self._first_request_timer: asyncio.TimerHandle | None = None
         self._limits = limits
         self._entry = entry
-        # The message is kept beside the task: an identity is its own only for as long.
-        self._begun: dict[int, tuple[Any, asyncio.Task[Obtained]]] = {}
-        self._close_is_due = False
+        # Keeps the message beside the task: its id() is unique only while it exists.
+        self._started_early: dict[int, tuple[Any, asyncio.Task[ProcessedRequest]]] = {}
+        self._close_pending = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the first request, but not for ever.
+        """Start the timer that closes a connection without a first request.
 
-        Who opens connections and sends half a header each would fill the node's
-        descriptors, and callers with work would be turned away.
+        Connections with an incomplete header would otherwise use up the node's file
+        descriptors, and other callers would be refused.
         """
         super().connection_made(transport)
         wait_s = max(self._limits.header_timeout_ms, self._limits.idle_timeout_ms) / 1e3
@@ -70,60 +76,67 @@
         self._first_request_timer = loop.call_later(wait_s, transport.close)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forget the timer and what was begun with the connection."""
-        self.request_came()
-        for _, task in self._begun.values():
+        """Cancel the timer and the requests started early."""
+        self.record_header_received()
+        for _, task in self._started_early.values():
             task.cancel()
-        self._begun.clear()
+        self._started_early.clear()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Begin with what has to wait for its turn."""
+        """Start pipelined requests that have to wait for their turn."""
         super().data_received(data)
-        if self._messages and not self._close_is_due:
-            self._begin_waiting()
+        if self._messages and not self._close_pending:
+            self._start_waiting()
 
-    def _begin_waiting(self) -> None:
-        # All before it must be such requests too: one that ends the connection with its
-        # answer would leave callers without an answer to work that was passed on.
+    def _start_waiting(self) -> None:
+        # All requests ahead must be plain too: one whose response closes the connection
+        # would leave requests that were already forwarded without a response.
         waiting = list(self._messages)
         if self._current_request is None:
             first, waiting = waiting[:1], waiting[1:]
-            if not all(_is_plain(message) for message, _ in first):
+            if not all(_is_plain_get(message) for message, _ in first):
                 return
-        elif not _is_plain(self._current_request._message):
+        elif not _is_plain_get(self._current_request._message):
             return
         for message, payload in waiting:
-            if not _is_plain(message) or len(self._begun) >= AHEAD_MAX:
+            if (
+                not _is_plain_get(message)
+                or len(self._started_early) >= MAX_STARTED_EARLY
+            ):
                 return
-            if id(message) not in self._begun and not self._begin(message, payload):
+            if id(message) not in self._started_early and not self._start_request(
+                message, payload
+            ):
                 return
 
-    def _begin(self, message: Any, payload: Any) -> bool:
+    def _start_request(self, message: Any, payload: Any) -> bool:
         assert self._request_factory is not None
         loop = asyncio.get_running_loop()
         writer, task = StreamWriter(self, loop), self._task_handler
-        request = self._request_factory(message, payload, self, writer, task)  # type: ignore[arg-type]  # there is one
-        begun = self._entry.begin(request)
-        if begun is None:
+        request = self._request_factory(message, payload, self, writer, task)  # type: ignore[arg-type]  # the task is running
+        started = self._entry.start_early(request)
+        if started is None:
             return False
-        self._begun[id(message)] = (message, begun)
+        self._started_early[id(message)] = (message, started)
         return True
 
-    def take_begun(self, request: web.BaseRequest) -> asyncio.Task[Obtained] | None:
-        """Return the work on a request that was begun before its turn."""
-        found = self._begun.pop(id(request._message), None)
+    def pop_started(
+        self, request: web.BaseRequest
+    ) -> asyncio.Task[ProcessedRequest] | None:
+        """Remove and return the task of a request that was started early."""
+        found = self._started_early.pop(id(request._message), None)
         return None if found is None else found[1]
 
     @property
-    def holds_begun(self) -> bool:
-        """Return True if requests behind the present one have been begun."""
-        return bool(self._begun)
+    def has_started_requests(self) -> bool:
+        """Return True if requests behind the current one have been started."""
+        return bool(self._started_early)
 
     def _process_keepalive(self) -> None:
-        # The HTTP library sets a timer that came early again, for the same moment. It
-        # comes early again, a thousand times in the last millisecond of an idle
-        # connection: half of them burnt a millisecond of processor time at their end.
+        # The HTTP library sets a timer that fires early again for the same time,
+        # a thousand times in the last millisecond of an idle connection, which costs
+        # half of the connections a millisecond of processor time.
         early_s = self._next_keepalive_close_time - asyncio.get_running_loop().time()
         if 0.0 < early_s < TIMER_EARLY_S:
             loop = asyncio.get_running_loop()
@@ -134,22 +147,22 @@
         super()._process_keepalive()
 
     def close(self) -> None:
-        """Close once all that was begun is answered.
+        """Close once all requests that were started early are answered.
 
-        Its callers cannot know that it was read, and targets work on it already.
+        Callers can't know that these were read, and targets already work on them.
         """
-        if self._begun:
-            self._close_is_due = True
+        if self._started_early:
+            self._close_pending = True
             return
         super().close()
 
-    def answered(self) -> None:
-        """Note that a request has its answer."""
-        if self._close_is_due and not self._begun:
+    def record_response_sent(self) -> None:
+        """Record a sent response; close if it is the last one awaited."""
+        if self._close_pending and not self._started_early:
             super().close()
 
-    def request_came(self) -> None:
-        """Note that a whole header is here."""
+    def record_header_received(self) -> None:
+        """Record that a complete request header was received."""
         if self._first_request_timer is not None:
             self._first_request_timer.cancel()
             self._first_request_timer = None
@@ -161,16 +174,18 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer a malformed request, and break off one that failed midway."""
+        """Respond to a malformed request; abort a response that failed midway."""
         if request.writer.output_size > 0:
-            raise ConnectionError("the answer has begun; its connection breaks")
+            raise ConnectionError(
+                "request failed after its response had started; closing the connection"
+            )
         text = "the request is malformed" if status < SERVER_ERROR else "internal error"
         response = web.Response(status=status, text=f"{text}\n")
         response.force_close()
         return response
 
 
-def _is_plain(message: Any) -> bool:
+def _is_plain_get(message: Any) -> bool:
     if not isinstance(message, RawRequestMessage) or message.method != "GET":
         return False
     if message.should_close or message.upgrade or message.chunked:
@@ -179,7 +194,7 @@
 
 
 class CallerServer(web.Server):
-    """Make the protocol of each connection; end a handler whose caller leaves."""
+    """Create the protocol of each connection; cancel handlers of callers that leave."""
 
     def __init__(self, entry: Entry, limits: Limits) -> None:
         super().__init__(self._serve, handler_cancellation=True)
@@ -193,9 +208,9 @@
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         protocol = request.protocol
         assert isinstance(protocol, CallerProtocol)
-        protocol.request_came()
-        response = await self._entry.handle(request, protocol.take_begun(request))
-        if self._entry.leaving and not protocol.holds_begun:
+        protocol.record_header_received()
+        response = await self._entry.handle(request, protocol.pop_started(request))
+        if self._entry.leaving and not protocol.has_started_requests:
             response.force_close()
-        protocol.answered()
+        protocol.record_response_sent()
         return response
--- a/src/crocusspindle/gateway/case.py
+++ b/src/crocusspindle/gateway/case.py
@@ -1,38 +1,38 @@
-"""Hold one request on its way through the entry."""
+"""Hold the state of one request while it is served."""
 
 from dataclasses import dataclass, field
 from typing import Final
 
 from crocusspindle.core.configuration import CustomerRule, RouteRule
 from crocusspindle.core.listed_target import TargetIdentity
-from crocusspindle.gateway.sender import Outgoing
+from crocusspindle.gateway.sender import OutgoingRequest
 from crocusspindle.ids import ContentDigest
 
 BODY_BUFFER_BYTES: Final = 1 << 20
-"""A body up to this size is here before the request is sent, so that a refused sending
-can be repeated; longer ones stream and are sent once."""
+"""Bodies up to this size are buffered before the request is sent, so that a refused
+attempt can be retried. Longer bodies are streamed and sent once."""
 
 
 @dataclass
-class Case:
-    """Hold one request on its way, and what its log line tells."""
+class RequestContext:
+    """Hold one request, its attempts and the fields of its log line."""
 
     request_id: str
     route: RouteRule
     customer: CustomerRule | None
-    outgoing: Outgoing
+    outgoing: OutgoingRequest
     content: ContentDigest
     began_ms: float
-    ends_ms: float
-    sends: list[dict[str, object]] = field(default_factory=list)
-    tried: set[TargetIdentity] = field(default_factory=set)
-    arrived: int = 0
+    deadline_ms: float
+    attempt_records: list[dict[str, object]] = field(default_factory=list)
+    tried_targets: set[TargetIdentity] = field(default_factory=set)
+    arrived_attempts: int = 0
     may_have_run: bool = False
     quota_wait_ms: float = 0.0
 
     @property
     def body_bytes(self) -> int:
-        """Return the length of the body, or of the part that is here."""
+        """Return the length of the body, or of the buffered prefix if streamed."""
         body = self.outgoing.body
         if body is None:
             return 0
@@ -40,7 +40,7 @@
 
     @property
     def priority(self) -> int:
-        """Return the customer's rank, else the route's."""
+        """Return the customer's priority if it has one, else the route's."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
--- a/src/crocusspindle/gateway/entry.py
+++ b/src/crocusspindle/gateway/entry.py
@@ -1,4 +1,4 @@
-"""Serve one caller's request: admit it, have it sent, answer."""
+"""Serve one caller's request: admit it, send it to a target, respond."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,35 +13,39 @@
 from crocusspindle.core.versioned_state import VersionedState
 from crocusspindle.gateway import instruments
 from crocusspindle.gateway.admission import Admission
-from crocusspindle.gateway.answers import Refusal, refusal_response, send_answer
-from crocusspindle.gateway.case import Case
+from crocusspindle.gateway.answers import (
+    Refusal,
+    refusal_response,
+    send_target_response,
+)
+from crocusspindle.gateway.case import RequestContext
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.dialect import Dialect
 from crocusspindle.gateway.knowledge import NEVER_MS, Knowledge
-from crocusspindle.gateway.quota import GAP_RETRY_MS, Quota
-from crocusspindle.gateway.sender import Sent
+from crocusspindle.gateway.quota import NO_KEEPER_RETRY_MS, Quota
+from crocusspindle.gateway.sender import AttemptResult
 from crocusspindle.gateway.sending import Sending
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger
 from crocusspindle.metrics import Metrics
 
-WAIT_PART: Final = 0.125
-"""The part of the aim that a request may wait for its customer's next token."""
+MAX_TOKEN_WAIT_FRACTION: Final = 0.125
+"""Fraction of the latency objective that a request may wait for a token."""
 
 
-PATIENCE_PART: Final = 0.5
-"""The part of the aim for which a request may wait for a keeper that is expected: usual
-work still ends within the other half."""
+KEEPER_WAIT_FRACTION: Final = 0.5
+"""Fraction of the latency objective that a request may wait for a quota keeper that is
+about to start. Typical requests still complete within the other half."""
 
 
 @dataclass(slots=True)
-class Obtained:
-    """Hold what a request came to, before any of it goes to its caller."""
+class ProcessedRequest:
+    """Hold the result of a request before any of it is sent to the caller."""
 
     request_id: str
     began_ms: float
-    case: Case | None = None
-    sent: Sent | None = None
+    context: RequestContext | None = None
+    result: AttemptResult | None = None
     refusal: Refusal | None = None
 
 
@@ -56,7 +60,7 @@
         admission: Admission,
         dialect: Dialect,
         knowledge: Knowledge,
-        sending: Sending,
+        attempt_runner: Sending,
         quota: Quota,
         crashes: CrashSharing,
         metrics: Metrics,
@@ -65,7 +69,7 @@
         self._admission = admission
         self._dialect = dialect
         self._knowledge = knowledge
-        self._sending = sending
+        self._attempt_runner = attempt_runner
         self._quota = quota
         self._metrics = metrics
         self._log = Logger("entry")
@@ -74,157 +78,167 @@
 
     async def start(self) -> None:
         """Open the connections to targets."""
-        await self._sending.start()
+        await self._attempt_runner.start()
 
     async def stop(self) -> None:
         """Close the connections to targets."""
-        await self._sending.stop()
+        await self._attempt_runner.stop()
 
-    def begin(self, request: web.BaseRequest) -> asyncio.Task[Obtained] | None:
-        """Begin with a request that must wait for its turn to be answered.
+    def start_early(
+        self, request: web.BaseRequest
+    ) -> asyncio.Task[ProcessedRequest] | None:
+        """Start a pipelined request before the responses ahead of it are sent.
 
-        Return None if it has to wait with all of its work: it may run once only, and
-        its connection may still end before its turn.
+        Return None for a non-idempotent request, which must not start early: its
+        connection may still close before its turn, and the caller takes it for unread.
         """
         if self.leaving or not self._admission.is_idempotent(request):
             return None
-        return asyncio.create_task(self._obtain(request))
+        return asyncio.create_task(self._process(request))
 
     async def handle(
-        self, request: web.BaseRequest, begun: asyncio.Task[Obtained] | None = None
+        self,
+        request: web.BaseRequest,
+        started: asyncio.Task[ProcessedRequest] | None = None,
     ) -> web.StreamResponse:
-        """Answer one request, which may have been begun before."""
-        obtained = await (self._obtain(request) if begun is None else begun)
+        """Respond to one request, which may have been started early."""
+        processed = await (self._process(request) if started is None else started)
         self.running += 1
         try:
-            return await self._respond(request, obtained)
+            return await self._respond(request, processed)
         finally:
             self.running -= 1
 
-    async def _obtain(self, request: web.BaseRequest) -> Obtained:
+    async def _process(self, request: web.BaseRequest) -> ProcessedRequest:
         request_id = request.headers.get(self._dialect.request_id, "")
-        obtained = Obtained(request_id, now_ms())
+        processed = ProcessedRequest(request_id, now_ms())
         self.running += 1
         try:
-            obtained.case = await self._admission.admit(
-                request, request_id, obtained.began_ms
+            processed.context = await self._admission.admit(
+                request, request_id, processed.began_ms
             )
-            self._check_held(obtained.case)
-            if obtained.case.customer is not None:
-                await self._spend(obtained.case, obtained.case.customer)
-            obtained.sent = await self._sending.send(obtained.case)
+            self._check_not_held(processed.context)
+            if processed.context.customer is not None:
+                await self._spend(processed.context, processed.context.customer)
+            processed.result = await self._attempt_runner.send(processed.context)
         except Refusal as refusal:
-            obtained.refusal = refusal
+            processed.refusal = refusal
         except asyncio.CancelledError:
-            if obtained.case is not None:
-                self._log_end(obtained.case, "caller left")
+            if processed.context is not None:
+                self._log_end(processed.context, "caller left")
             raise
         finally:
             self.running -= 1
-        return obtained
+        return processed
 
-    def _check_held(self, case: Case) -> None:
-        refused = self._crashes.refusal(case.content)
+    def _check_not_held(self, context: RequestContext) -> None:
+        refused = self._crashes.refusal(context.content)
         if refused is not None:
             raise Refusal(503, refused.reason, refused.retry_after_ms)
 
     async def _respond(
-        self, request: web.BaseRequest, obtained: Obtained
+        self, request: web.BaseRequest, processed: ProcessedRequest
     ) -> web.StreamResponse:
-        case, refusal = obtained.case, obtained.refusal
-        if case is not None and obtained.sent is not None:
+        context, refusal = processed.context, processed.refusal
+        if context is not None and processed.result is not None:
             try:
-                return await self._answer(request, case, obtained.sent)
+                return await self._send_target_response(
+                    request, context, processed.result
+                )
             except asyncio.CancelledError:
-                self._log_end(case, "caller left")
+                self._log_end(context, "caller left")
                 raise
-            except Refusal as late:
-                refusal = late
+            except Refusal as error:
+                refusal = error
         assert refusal is not None
-        if case is not None:
-            refusal.case_fields = self._fields(case)
+        if context is not None:
+            refusal.context_fields = self._fields(context)
         self._metrics.add(instruments.REFUSED, reason=refusal.reason)
-        self._log_refusal(obtained, refusal)
-        return refusal_response(refusal, obtained.request_id, self._dialect)
-
-    async def _spend(self, case: Case, customer: CustomerRule) -> None:
-        limit_ms = case.route.aim_ms * WAIT_PART
-        patient_until_ms = case.began_ms + case.route.aim_ms * PATIENCE_PART
-        answer = await self._quota.spend(customer, limit_ms, patient_until_ms)
-        if isinstance(answer, OverRate):
-            raise Refusal(429, "rate", answer.retry_after_ms)
-        if not isinstance(answer, Admitted):
-            raise Refusal(503, "no-keeper", GAP_RETRY_MS)
-        case.quota_wait_ms = answer.wait_ms
-        if answer.wait_ms > 0:
-            await asyncio.sleep(answer.wait_ms / 1e3)
-
-    async def _answer(
-        self, request: web.BaseRequest, case: Case, sent: Sent
+        self._log_refusal(processed, refusal)
+        return refusal_response(refusal, processed.request_id, self._dialect)
+
+    async def _spend(self, context: RequestContext, customer: CustomerRule) -> None:
+        max_wait_ms = context.route.aim_ms * MAX_TOKEN_WAIT_FRACTION
+        wait_until_ms = context.began_ms + context.route.aim_ms * KEEPER_WAIT_FRACTION
+        decision = await self._quota.spend(customer, max_wait_ms, wait_until_ms)
+        if isinstance(decision, OverRate):
+            raise Refusal(429, "rate", decision.retry_after_ms)
+        if not isinstance(decision, Admitted):
+            raise Refusal(503, "no-keeper", NO_KEEPER_RETRY_MS)
+        context.quota_wait_ms = decision.wait_ms
+        if decision.wait_ms > 0:
+            await asyncio.sleep(decision.wait_ms / 1e3)
+
+    async def _send_target_response(
+        self, request: web.BaseRequest, context: RequestContext, result: AttemptResult
     ) -> web.StreamResponse:
-        if sent.answer is None:
-            raise _failure(case, sent)
-        response = await send_answer(request, sent.answer, case.ends_ms)
-        latency_ms = now_ms() - case.began_ms
+        if result.target_response is None:
+            raise _failure(context, result)
+        response = await send_target_response(
+            request, result.target_response, context.deadline_ms
+        )
+        latency_ms = now_ms() - context.began_ms
         self._metrics.record(
-            instruments.REQUEST_MS, latency_ms, route=case.route.kind.value
+            instruments.REQUEST_MS, latency_ms, route=context.route.kind.value
         )
-        self._log_end(case, str(response.status))
+        self._log_end(context, str(response.status))
         return response
 
-    def _fields(self, case: Case) -> dict[str, object]:
+    def _fields(self, context: RequestContext) -> dict[str, object]:
         configuration = self._knowledge.configuration
         return {
-            "route": case.route.name,
-            "kind": case.route.kind.value,
-            "aim_ms": round(case.route.aim_ms),
-            "customer": case.customer.customer if case.customer else None,
-            "keeper": self._quota.keeper_of(case.customer) if case.customer else None,
+            "route": context.route.name,
+            "kind": context.route.kind.value,
+            "aim_ms": round(context.route.aim_ms),
+            "customer": context.customer.customer if context.customer else None,
+            "keeper": self._quota.keeper_of(context.customer)
+            if context.customer
+            else None,
             "view": self._knowledge.view.version,
-            "sends": case.sends,
-            "body_bytes": case.body_bytes,
-            "content": case.content,
-            "quota_wait_ms": round(case.quota_wait_ms),
+            "sends": context.attempt_records,
+            "body_bytes": context.body_bytes,
+            "content": context.content,
+            "quota_wait_ms": round(context.quota_wait_ms),
             "version": configuration.version,
             "proof_age_ms": _age_ms(configuration),
         }
 
-    def _log_end(self, case: Case, outcome: str) -> None:
+    def _log_end(self, context: RequestContext, outcome: str) -> None:
         self._metrics.add(instruments.ANSWERS, outcome=outcome)
         self._log.info(
             "request ended",
             extra={
-                "request": case.request_id,
+                "request": context.request_id,
                 "outcome": outcome,
-                "took_ms": round(now_ms() - case.began_ms),
-                **self._fields(case),
+                "took_ms": round(now_ms() - context.began_ms),
+                **self._fields(context),
             },
         )
 
-    def _log_refusal(self, obtained: Obtained, refusal: Refusal) -> None:
+    def _log_refusal(self, processed: ProcessedRequest, refusal: Refusal) -> None:
         configuration = self._knowledge.configuration
         self._log.info(
             "request refused",
             extra={
-                "request": obtained.request_id,
+                "request": processed.request_id,
                 "outcome": str(refusal.status),
                 "reason": refusal.reason,
                 "retry_after_ms": refusal.retry_after_ms,
-                "took_ms": round(now_ms() - obtained.began_ms),
+                "took_ms": round(now_ms() - processed.began_ms),
                 "version": configuration.version,
                 "proof_age_ms": _age_ms(configuration),
-                **refusal.case_fields,
+                **refusal.context_fields,
             },
         )
 
 
-def _failure(case: Case, sent: Sent) -> Refusal:
-    if not case.may_have_run:
-        return Refusal(503, f"target-{sent.ending.value}", 200.0)
-    if sent.ending is AttemptOutcome.SILENT:
+def _failure(context: RequestContext, result: AttemptResult) -> Refusal:
+    if not context.may_have_run:
+        return Refusal(503, f"target-{result.outcome.value}", 200.0)
+    if result.outcome is AttemptOutcome.SILENT:
         return Refusal(504, "target-silent")
-    return Refusal(502, f"target-{sent.ending.value}")
+    return Refusal(502, f"target-{result.outcome.value}")
 
 
-def _age_ms(belief: VersionedState[Configuration]) -> int:
-    return round(min(belief.age_ms(now_ms()), NEVER_MS))
+def _age_ms(state: VersionedState[Configuration]) -> int:
+    return round(min(state.age_ms(now_ms()), NEVER_MS))
--- a/src/crocusspindle/gateway/held_requests.py
+++ b/src/crocusspindle/gateway/held_requests.py
@@ -1,4 +1,4 @@
-"""Show the requests that a fleet holds back, and free one."""
+"""List the requests that a fleet quarantines (held requests), and free one."""
 
 import json
 from collections.abc import AsyncIterator, Mapping
@@ -38,7 +38,7 @@
 
 
 async def held_requests(platform: FleetPlatform) -> list[dict[str, Any]]:
-    """Return what the platform's store holds of requests that are held back."""
+    """Return the held requests in the platform's store."""
     rows = await _rows(platform)
     table = CrashTable()
     table.merge([record for _, record in rows.values()], wall_ms())
@@ -56,26 +56,28 @@
 
 async def free_request(platform: FleetPlatform, content: str) -> dict[str, Any]:
     """Free a request on all hosts; raise ``InvalidInputError`` if none is held."""
-    found = (await _rows(platform)).get(ContentDigest(content))
-    if found is None or not found[1].crashes:
+    records = (await _rows(platform)).get(ContentDigest(content))
+    if records is None or not records[1].crashes:
         message = f"no request with content {content!r} is held"
         raise InvalidInputError([Finding("command line", "content", message)])
-    row, record = found
+    row, record = records
     freed = replace(
         CrashRecord(record.content, record.generation + 1, was_shared=True),
         last_ms=wall_ms(),
     )
     value = json.dumps(packed_record(freed)).encode()
     if await platform.put(row.key, value, row.version) is None:
-        raise PlatformUnavailableError(f"{row.key} has changed meanwhile; try again")
+        raise PlatformUnavailableError(
+            f"{row.key} was changed by another writer; try again"
+        )
     return {"content": content, "freed": True}
 
 
 async def _rows(platform: FleetPlatform) -> Rows:
     changes = await platform.read(Table.FLEET)
-    found: dict[ContentDigest, tuple[StoredRow, CrashRecord]] = {}
+    records: dict[ContentDigest, tuple[StoredRow, CrashRecord]] = {}
     for row in changes.rows:
         if row.value is not None and row.key.startswith(CRASH_PREFIX):
             record = unpacked_record(json.loads(row.value))
-            found[record.content] = (row, record)
-    return found
+            records[record.content] = (row, record)
+    return records
--- a/src/crocusspindle/gateway/placer_ranks.py
+++ b/src/crocusspindle/gateway/placer_ranks.py
@@ -1,4 +1,4 @@
-"""Know who places for a service, by the view in force, and tell them things."""
+"""Rank the placers of a service by the view in force, and notify them."""
 
 from collections import deque
 from typing import Any, Final
@@ -9,16 +9,16 @@
 from crocusspindle.gateway.knowledge import Knowledge
 from crocusspindle.ids import DomainId, HostId, ServiceId
 
-PLACERS: Final = 3
-"""Members by rank that are tried before a node places on its own: with that many lost
-at once most of the fleet is gone."""
+MAX_PLACERS: Final = 3
+"""Members by rank that are tried before a node chooses a target locally. If that many
+are lost at once, most of the fleet is lost."""
 
 VIEWS_KEPT: Final = 16
-"""Views by which a new placer tells how long it was one of those that are told."""
+"""Views from which a new placer finds since when the placers have notified it."""
 
 
 class PlacerRanks:
-    """Rank the members for the placing of each service."""
+    """Rank the members as placers of each service."""
 
     def __init__(
         self, node: NodeAddress, exchange: Exchange, knowledge: Knowledge
@@ -27,20 +27,20 @@
         self._exchange = exchange
         self._knowledge = knowledge
         self._ranked: dict[ServiceId, list[HostId]] = {}
-        self._number = -1
+        self._view_version = -1
         self._views: deque[tuple[float, View | None]] = deque(maxlen=VIEWS_KEPT)
         self._domains: dict[str, DomainId] = {}
 
     def take_view(self) -> bool:
-        """Take over the view in force; return True if it has changed."""
-        belief = self._knowledge.view
-        if belief.version == self._number:
+        """Update to the view in force; return True if it has changed."""
+        state = self._knowledge.view
+        if state.version == self._view_version:
             return False
-        self._number = belief.version
+        self._view_version = state.version
         self._ranked.clear()
-        self._views.append((now_ms(), belief.content))
-        entries = () if belief.content is None else belief.content.entries
-        self._domains = {seat.node.ip: seat.node.domain for seat in entries}
+        self._views.append((now_ms(), state.content))
+        entries = () if state.content is None else state.content.entries
+        self._domains = {entry.node.ip: entry.node.domain for entry in entries}
         return True
 
     def ranked(self, service: ServiceId) -> list[HostId]:
@@ -52,32 +52,32 @@
         return ranked
 
     def own_rank(self, service: ServiceId) -> int:
-        """Return this node's rank, the number of members if it is none."""
+        """Return this node's rank, or the number of members if it isn't one."""
         ranked = self.ranked(service)
         host = self._node.host
         return ranked.index(host) if host in ranked else len(ranked)
 
     def told_since_ms(self, service: ServiceId) -> float:
-        """Return since when this node was one of those that placers tell things."""
+        """Return since when the placers of a service have notified this node."""
         since_ms = now_ms()
         for from_ms, view in reversed(self._views):
-            if self._node.host not in _ranked(view, service)[:PLACERS]:
+            if self._node.host not in _ranked(view, service)[:MAX_PLACERS]:
                 break
             since_ms = from_ms
         return since_ms
 
     def tell_others(self, service: ServiceId, note: Any) -> None:
-        """Tell the other members that place for a service or would be next."""
-        for host in self.ranked(service)[:PLACERS]:
+        """Notify the service's other placer and successor members."""
+        for host in self.ranked(service)[:MAX_PLACERS]:
             to = self.address(host)
             if host != self._node.host and to is not None:
                 self._exchange.tell(to, note)
 
     def address(self, host: HostId) -> Address | None:
-        """Return where a member's datagrams go."""
+        """Return the address of a member for datagrams."""
         view = self._knowledge.view.content
-        seat = None if view is None else view.by_host.get(host)
-        return None if seat is None else (seat.node.ip, seat.node.peer_port)
+        entry = None if view is None else view.by_host.get(host)
+        return None if entry is None else (entry.node.ip, entry.node.peer_port)
 
     def domain_of(self, address: Address) -> DomainId:
         """Return the failure domain of the member at an address."""
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -1,4 +1,4 @@
-"""Answer asks for places, as the placer of the services that fall to this node."""
+"""Answer placement requests for the services that this node places."""
 
 import asyncio
 from collections.abc import Callable
@@ -39,13 +39,13 @@
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
 
-SETTLE_S: Final = 0.02
-IDLE_SETTLE_S: Final = 0.1
-"""How soon the first that waits is looked at again if no work ends meanwhile."""
+PROCESS_INTERVAL_S: Final = 0.02
+IDLE_PROCESS_INTERVAL_S: Final = 0.1
+"""Interval at which queues are processed if no attempt ends meanwhile."""
 
 
 class Placers(Service):
-    """Hold a placer for each service that other nodes ask this one for."""
+    """Hold a placer for each service that nodes request targets for."""
 
     name: ClassVar[str] = "placers"
     needs: ClassVar[tuple[str, ...]] = (
@@ -70,16 +70,16 @@
         self._policies = policies
         self._crashes = crashes
         self.ranks = PlacerRanks(node, exchange, knowledge)
-        self._repeats = RepeatSharing(node, bounds, self.ranks)
+        self._retry_sharing = RepeatSharing(node, bounds, self.ranks)
         self._placers: dict[ServiceId, ServicePlacer] = {}
         self.targets: dict[TargetIdentity, ListedTarget] = {}
         self._targets_digest = 0
-        self._settled: dict[int, tuple[QueuedRequest, asyncio.Event]] = {}
+        self._waiters: dict[int, tuple[QueuedRequest, asyncio.Event]] = {}
         self.on_ejected: Callable[[TargetIdentity, float], None] = _ignore
         self._log = Logger("placing")
 
     async def start(self) -> None:
-        """Begin to answer."""
+        """Register the message handlers."""
         self._exchange.handle(PlaceAsk, self._place_ask)
         self._exchange.handle(EndedNote, self._ended_note)
         self._exchange.handle(EjectedNote, self._ejected_note)
@@ -88,15 +88,15 @@
         self._knowledge.listen(self._learn)
 
     def _learn(self) -> None:
-        known = self._knowledge
-        if known.targets_digest != self._targets_digest:
-            self._targets_digest = known.targets_digest
-            listed = known.targets.content or ()
+        state = self._knowledge
+        if state.targets_digest != self._targets_digest:
+            self._targets_digest = state.targets_digest
+            listed = state.targets.content or ()
             self.targets = {entry.identity: entry for entry in listed}
             for service, placer in self._placers.items():
                 placer.set_targets(self.targets_of(service), now_ms())
         if self.ranks.take_view():
-            self._repeats.take_ranks()
+            self._retry_sharing.take_ranks()
 
     def targets_of(self, service: ServiceId) -> list[ListedTarget]:
         """Return the listed targets of a service."""
@@ -105,7 +105,7 @@
     def _placer(self, service: ServiceId) -> ServicePlacer:
         placer = self._placers.get(service)
         if placer is None:
-            budget = self._repeats.budget(service)
+            budget = self._retry_sharing.budget(service)
             floor_share = self._bounds.now.floor_share
             placer = ServicePlacer(
                 floor_share,
@@ -116,24 +116,24 @@
             )
             placer.set_targets(self.targets_of(service), now_ms())
             if not self._placers:
-                self.spawn(self._settle_regularly())
+                self.spawn(self._process_regularly())
             self._placers[service] = placer
             log_state_change(self._log, "places for a service", service=service)
         return placer
 
-    async def until_listed(self) -> None:
-        """Wait a moment for the first list of targets after the start."""
+    async def wait_until_listed(self) -> None:
+        """Wait a limited time for the first list of targets after the start."""
         await self._knowledge.first_targets()
-        # Listeners hear of the list when the other tables have been read as well.
+        # Listeners are notified only when the other tables have been read as well.
         self._learn()
 
     async def _repeats_note(self, note: RepeatsNote, sender: Address) -> None:
-        self._repeats.receive(note)
+        self._retry_sharing.receive(note)
 
     async def _place_ask(
         self, message: PlaceAsk, sender: Address
     ) -> PlaceAnswer | RefusedAnswer:
-        await self.until_listed()
+        await self.wait_until_listed()
         at_ms = now_ms()
         content = ContentDigest(message.content)
         refused = self._crashes.refusal(content)
@@ -157,26 +157,26 @@
         )
         placer = self._placer(ServiceId(message.service))
         for report in unpacked_limits(message.limits, at_ms):
-            self._take_limit(placer, report)
-        answer = placer.request_placement(placement_request, at_ms)
-        self._repeats.tell_if_due(ServiceId(message.service))
-        if isinstance(answer, PlacementRefused) and answer.reason == "repeats":
-            self._repeats.log_bound(ServiceId(message.service))
-        if isinstance(answer, QueuedRequest):
-            answer = await self._wait(placer, answer)
-        self._tell_changes(ServiceId(message.service), placer)
-        if isinstance(answer, PlacementGranted):
+            self._apply_limit(placer, report)
+        decision = placer.request_placement(placement_request, at_ms)
+        self._retry_sharing.tell_if_due(ServiceId(message.service))
+        if isinstance(decision, PlacementRefused) and decision.reason == "repeats":
+            self._retry_sharing.log_bound(ServiceId(message.service))
+        if isinstance(decision, QueuedRequest):
+            decision = await self._wait_for_placement(placer, decision)
+        self._publish_changes(ServiceId(message.service), placer)
+        if isinstance(decision, PlacementGranted):
             if placement_request.trial:
                 self._crashes.begin_trial(
                     ServiceId(message.service), self.ranks, content
                 )
-            target = answer.target
+            target = decision.target
             return PlaceAnswer(
-                answer.grant, target.identity, round(answer.hedge_after_ms)
+                decision.grant, target.identity, round(decision.hedge_after_ms)
             )
-        return RefusedAnswer(answer.reason, answer.retry_after_ms)
+        return RefusedAnswer(decision.reason, decision.retry_after_ms)
 
-    def _take_limit(self, placer: ServicePlacer, report: LimitReport) -> None:
+    def _apply_limit(self, placer: ServicePlacer, report: LimitReport) -> None:
         if placer.update_limit(report, now_ms()):
             log_state_change(
                 self._log,
@@ -190,39 +190,41 @@
         for report in unpacked_limits(note.limits, now_ms()):
             placer.count_limited_attempt(report, now_ms())
 
-    async def _wait(
-        self, placer: ServicePlacer, waiting: QueuedRequest
+    async def _wait_for_placement(
+        self, placer: ServicePlacer, queued: QueuedRequest
     ) -> PlacementGranted | PlacementRefused:
         settled = asyncio.Event()
-        self._settled[id(waiting)] = (waiting, settled)
+        self._waiters[id(queued)] = (queued, settled)
         try:
             await settled.wait()
-            assert waiting.settled is not None
-            return waiting.settled
+            assert queued.settled is not None
+            return queued.settled
         finally:
-            del self._settled[id(waiting)]
-            if waiting.settled is None:
-                placer.abandon(waiting)
+            del self._waiters[id(queued)]
+            if queued.settled is None:
+                placer.abandon(queued)
 
     def _wake_settled(self) -> None:
-        for waiting, settled in self._settled.values():
-            if waiting.settled is not None:
+        for queued, settled in self._waiters.values():
+            if queued.settled is not None:
                 settled.set()
 
-    async def _settle_regularly(self) -> None:
-        # Lets grants of dead senders end, and ejections and waits with them. One look
-        # for all that wait: one for each would grow with the square of their number.
+    async def _process_regularly(self) -> None:
+        # Ends grants of senders that are down, ejections and queue waits. One pass for
+        # all queued requests: one for each would grow with the square of their number.
         while True:
-            await asyncio.sleep(SETTLE_S if self._settled else IDLE_SETTLE_S)
+            await asyncio.sleep(
+                PROCESS_INTERVAL_S if self._waiters else IDLE_PROCESS_INTERVAL_S
+            )
             for service, placer in self._placers.items():
                 placer.process_due(now_ms())
-                self._tell_changes(service, placer)
+                self._publish_changes(service, placer)
             self._wake_settled()
 
     async def _ended_note(self, note: EndedNote, sender: Address) -> Done:
         target = self.targets.get(TargetIdentity(note.target))
         if target is None:
-            # It left the list, and what was known of it with it.
+            # The target was removed from the list, and its state with it.
             return Done()
         placer = self._placer(target.service)
         if (
@@ -231,7 +233,7 @@
         ):
             sent_ms = now_ms() - note.latency_ms
             report = LimitReport(target.identity, note.limit_per_s, sent_ms)
-            self._take_limit(placer, report)
+            self._apply_limit(placer, report)
         placer.ended(
             target.identity,
             GrantId(note.grant),
@@ -246,10 +248,10 @@
         if crashed:
             placer.process_due(now_ms())
         self._wake_settled()
-        self._tell_changes(target.service, placer)
+        self._publish_changes(target.service, placer)
         return Done()
 
-    def _tell_changes(self, service: ServiceId, placer: ServicePlacer) -> None:
+    def _publish_changes(self, service: ServiceId, placer: ServicePlacer) -> None:
         recent_limits = packed_limits(placer.recent_limits(), now_ms())
         if recent_limits:
             self.ranks.tell_others(service, PacedNote(service, recent_limits))
@@ -267,9 +269,9 @@
                 left_ms=left_ms if ejected else None,
             )
             if ejected:
-                self._tell_successors(service, change.target, left_ms)
+                self._publish_ejection(service, change.target, left_ms)
 
-    def _tell_successors(
+    def _publish_ejection(
         self, service: ServiceId, target: TargetIdentity, left_ms: float
     ) -> None:
         self.ranks.tell_others(service, EjectedNote(service, target, left_ms))
@@ -282,4 +284,4 @@
 
 
 def _ignore(target: TargetIdentity, until_ms: float) -> None:
-    """Do nothing with an ejection that another placer told."""
+    """Ignore an ejection sent by another placer."""
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -1,4 +1,4 @@
-"""Find a place for a request, from the placer of its service or by own choice."""
+"""Choose a target for a request: ask the service's placer, or choose locally."""
 
 import random
 from dataclasses import dataclass
@@ -19,34 +19,34 @@
     PlaceAsk,
     RefusedAnswer,
 )
-from crocusspindle.gateway.placer_ranks import PLACERS
+from crocusspindle.gateway.placer_ranks import MAX_PLACERS
 from crocusspindle.gateway.placers import Placers
 from crocusspindle.gateway.reported_limits import ReportedLimits, packed_limits
 from crocusspindle.ids import ContentDigest, GrantId, HostId, ServiceId
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
 
-SILENT_S: Final = 0.09
-"""Two sendings that were lost, or a placer that is gone."""
+REPLY_TIMEOUT_S: Final = 0.09
+"""Time without a reply after which two messages were lost or the peer is down."""
 
-SUSPECT_MS: Final = 1_500.0
+PLACER_SUSPECT_MS: Final = 1_500.0
 FALLBACK_HEDGE_MS: Final = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Hold where to send, and the placer to tell how it ended."""
+    """Hold the target of an attempt, and the placer to notify of its outcome."""
 
     service: ServiceId
     target: ListedTarget
     hedge_after_ms: float
     grant: GrantId | None = None
     placer: HostId | None = None
-    placer_at: Address | None = None
+    placer_address: Address | None = None
 
 
 class Placing(Service):
-    """Ask the placer of a service, or place alone if none answers."""
+    """Request targets from a service's placer, or choose locally if none replies."""
 
     name: ClassVar[str] = "placing"
     needs: ClassVar[tuple[str, ...]] = ("exchange", "placers", "crashes")
@@ -55,88 +55,94 @@
         self,
         exchange: Exchange,
         placers: Placers,
-        draw: random.Random,
+        rng: random.Random,
         crashes: CrashSharing,
     ) -> None:
         self._exchange = exchange
         self._placers = placers
         self._crashes = crashes
-        self._fallback = FallbackChoice(draw)
+        self._fallback = FallbackChoice(rng)
         self._limits = ReportedLimits()
         self._suspect_until_ms: dict[HostId, float] = {}
         self._log = Logger("placing")
 
     async def start(self) -> None:
-        """Listen for answers that come late."""
+        """Handle replies that arrive late."""
         self._placers.on_ejected = self._fallback.avoid
-        self._exchange.handle_late(PlaceAnswer, self._give_back)
+        self._exchange.handle_late(PlaceAnswer, self._release_grant)
 
-    def _give_back(self, answer: PlaceAnswer, placer: Address) -> None:
-        # The asker has left or went to another placer. Its slot would stay taken
-        # until the request's deadline, and others would be refused for want of it.
+    def _release_grant(self, reply: PlaceAnswer, placer: Address) -> None:
+        # The request was abandoned or went to another placer. Its slot would stay taken
+        # until the request's deadline, and other requests would be refused.
         note = EndedNote(
-            answer.target,
-            answer.grant,
+            reply.target,
+            reply.grant,
             ENDINGS.index(AttemptOutcome.ABANDONED),
             0,
         )
-        self.spawn(self._exchange.ask(placer, note, SILENT_S, SILENT_S))
+        self.spawn(self._exchange.ask(placer, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S))
 
     async def place(
-        self, service: ServiceId, ask: PlacementRequest
+        self, service: ServiceId, placement_request: PlacementRequest
     ) -> Place | PlacementRefused:
-        """Return where to send a request, from its placer or by own choice."""
-        await self._placers.until_listed()
-        asked = 0
+        """Return a target for a request, from a placer or chosen locally."""
+        await self._placers.wait_until_listed()
+        contacted = 0
         for host in self._placers.ranks.ranked(service):
             if self._suspect_until_ms.get(host, 0.0) > now_ms():
                 continue
-            if asked >= PLACERS:
+            if contacted >= MAX_PLACERS:
                 break
-            asked += 1
-            answer = await self._ask_placer(host, service, ask, counted=asked > 1)
-            if answer is not None:
-                return answer
-        return self._place_alone(service, ask)
-
-    async def _ask_placer(
-        self, host: HostId, service: ServiceId, ask: PlacementRequest, counted: bool
+            contacted += 1
+            reply = await self._request_from(
+                host, service, placement_request, counted=contacted > 1
+            )
+            if reply is not None:
+                return reply
+        return self._place_locally(service, placement_request)
+
+    async def _request_from(
+        self,
+        host: HostId,
+        service: ServiceId,
+        placement_request: PlacementRequest,
+        counted: bool,
     ) -> Place | PlacementRefused | None:
         to = self._placers.ranks.address(host)
         if to is None:
             return None
-        left_ms = ask.deadline_ms - now_ms()
+        left_ms = placement_request.deadline_ms - now_ms()
         message = PlaceAsk(
             service,
-            ask.route,
-            ask.idempotent,
-            ask.priority,
-            round(ask.aim_ms),
+            placement_request.route,
+            placement_request.idempotent,
+            placement_request.priority,
+            round(placement_request.aim_ms),
             round(left_ms),
-            ask.body_bytes,
-            ask.retry,
-            ask.hedge,
+            placement_request.body_bytes,
+            placement_request.retry,
+            placement_request.hedge,
             counted,
-            ask.content,
-            list(ask.excluded),
+            placement_request.content,
+            list(placement_request.excluded),
             packed_limits(self._limits_of(service), now_ms()),
         )
-        answer = await self._exchange.ask(to, message, SILENT_S, left_ms / 1e3)
-        if isinstance(answer, RefusedAnswer):
-            return PlacementRefused(answer.reason, answer.retry_after_ms)
-        if not isinstance(answer, PlaceAnswer):
-            self._suspect_until_ms[host] = now_ms() + SUSPECT_MS
+        reply = await self._exchange.ask(to, message, REPLY_TIMEOUT_S, left_ms / 1e3)
+        if isinstance(reply, RefusedAnswer):
+            return PlacementRefused(reply.reason, reply.retry_after_ms)
+        if not isinstance(reply, PlaceAnswer):
+            self._suspect_until_ms[host] = now_ms() + PLACER_SUSPECT_MS
             log_state_change(
                 self._log, "placer passed over", host=host, service=service
             )
             return None
-        target = self._placers.targets.get(TargetIdentity(answer.target))
+        target = self._placers.targets.get(TargetIdentity(reply.target))
         if target is None:
-            # The placer knows a target that has not been told here yet, or no more.
-            self._give_back(answer, to)
+            # The placer's list of targets is newer or older than this node's.
+            self._release_grant(reply, to)
             return None
         return Place(
-            service, target, answer.hedge_after_ms, GrantId(answer.grant), host, to
+            service, target, reply.hedge_after_ms, GrantId(reply.grant), host, to
         )
 
     def _limits_of(self, service: ServiceId) -> list[LimitReport]:
@@ -147,18 +153,20 @@
             and entry.service == service
         ]
 
-    def _place_alone(
-        self, service: ServiceId, ask: PlacementRequest
+    def _place_locally(
+        self, service: ServiceId, placement_request: PlacementRequest
     ) -> Place | PlacementRefused:
-        if ask.retry:
+        if placement_request.retry:
             return PlacementRefused("repeats", EJECTION_MS)
-        if self._crashes.is_suspect(ask.content):
-            # Nobody sees here what else runs at a target, or runs this request.
+        if self._crashes.is_suspect(placement_request.content):
+            # What else runs at a target, or runs this request, is unknown here.
             return PlacementRefused("suspect", EJECTION_MS)
-        # How much the others send to a target with a limit is not known here.
+        # How much other nodes send to a rate-limited target is unknown here.
         limited = {report.target for report in self._limits_of(service)}
         open_to_all = [
-            e for e in self._placers.targets_of(service) if e.identity not in limited
+            listed
+            for listed in self._placers.targets_of(service)
+            if listed.identity not in limited
         ]
         target = self._fallback.choose(open_to_all, now_ms())
         if target is None:
@@ -166,64 +174,69 @@
         self._fallback.began(target.identity)
         return Place(service, target, FALLBACK_HEDGE_MS)
 
-    async def crashed(
-        self, place: Place, content: ContentDigest, latency_ms: float
+    async def report_crash(
+        self, placement: Place, content: ContentDigest, latency_ms: float
     ) -> None:
-        """Tell a placer that a target crashed, before its request is sent again."""
+        """Notify a placer of a target's crash before the request is retried."""
         note = EndedNote(
-            place.target.identity,
-            place.grant or 0,
+            placement.target.identity,
+            placement.grant or 0,
             ENDINGS.index(AttemptOutcome.CRASHED),
             round(latency_ms),
             content,
         )
-        self._fallback.avoid(place.target.identity, now_ms() + EJECTION_MS)
-        if place.grant is None:
-            self._fallback.ended(place.target.identity)
-        first = () if place.placer_at is None else (place.placer_at,)
+        self._fallback.avoid(placement.target.identity, now_ms() + EJECTION_MS)
+        if placement.grant is None:
+            self._fallback.ended(placement.target.identity)
+        first = () if placement.placer_address is None else (placement.placer_address,)
         others = (
             self._placers.ranks.address(h)
-            for h in self._placers.ranks.ranked(place.service)
+            for h in self._placers.ranks.ranked(placement.service)
         )
         tried = 0
         for to in dict.fromkeys((*first, *others)):
-            if to is None or tried == PLACERS:
+            if to is None or tried == MAX_PLACERS:
                 continue
             tried += 1
-            if await self._exchange.ask(to, note, SILENT_S, SILENT_S) is not None:
+            if (
+                await self._exchange.ask(to, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S)
+                is not None
+            ):
                 return
 
-    def ended(
+    def report_outcome(
         self,
-        place: Place,
+        placement: Place,
         content: ContentDigest,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         latency_ms: float,
         limit_per_s: float | None,
     ) -> None:
-        """Tell the placer how a sending ended."""
-        if limit_per_s is not None or ending is AttemptOutcome.ANSWERED:
+        """Notify the placer of the outcome of an attempt."""
+        if limit_per_s is not None or outcome is AttemptOutcome.ANSWERED:
             sent_ms = now_ms() - latency_ms
-            self._limits.take(LimitReport(place.target.identity, limit_per_s, sent_ms))
-        failed = ending not in (
+            self._limits.record(
+                LimitReport(placement.target.identity, limit_per_s, sent_ms)
+            )
+        failed = outcome not in (
             AttemptOutcome.ANSWERED,
             AttemptOutcome.ABANDONED,
             AttemptOutcome.SHED,
         )
-        if failed and ending is not AttemptOutcome.ERROR:
-            self._fallback.avoid(place.target.identity, now_ms() + EJECTION_MS)
-        if place.placer_at is None or place.grant is None:
-            self._fallback.ended(place.target.identity)
+        if failed and outcome is not AttemptOutcome.ERROR:
+            self._fallback.avoid(placement.target.identity, now_ms() + EJECTION_MS)
+        if placement.placer_address is None or placement.grant is None:
+            self._fallback.ended(placement.target.identity)
             return
         note = EndedNote(
-            place.target.identity,
-            place.grant,
-            ENDINGS.index(ending),
+            placement.target.identity,
+            placement.grant,
+            ENDINGS.index(outcome),
             round(latency_ms),
-            content if ending is AttemptOutcome.BROKEN else "",
+            content if outcome is AttemptOutcome.BROKEN else "",
             limit_per_s,
         )
-        # Also to a placer that the view names no more: it goes on placing for a while,
-        # and work whose end it does not hear of would look like targets that hang.
-        to = place.placer_at
-        self.spawn(self._exchange.ask(to, note, SILENT_S, SILENT_S))
+        # Also notifies a placer that was removed from the view: it keeps placing for a
+        # while, and attempts without a reported end would look like hanging targets.
+        to = placement.placer_address
+        self.spawn(self._exchange.ask(to, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S))
--- a/src/crocusspindle/gateway/ports.py
+++ b/src/crocusspindle/gateway/ports.py
@@ -1,4 +1,4 @@
-"""Serve the ports of a node: callers, checks, where to connect, metrics."""
+"""Serve a node's ports: callers, readiness, discovery, metrics."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,24 +23,24 @@
 
 BACKLOG: Final = 512
 WHERE_VALID_S: Final = 2.0
-"""Callers keep the answer this long, some three times as long. A node that leaves is
-avoided after that; asking more often would cost each caller a request a second."""
+"""Callers cache the addresses this long, some three times as long, and then avoid nodes
+that leave. A shorter time would cost each caller a request a second."""
 
-ADDRESSES_MAX: Final = 64
-NEAR_ENOUGH: Final = 2
-"""Nodes of the caller's own domain, from which on no others are named."""
+MAX_ADDRESSES: Final = 64
+MIN_LOCAL_NODES: Final = 2
+"""With at least this many nodes in the caller's domain, no others are listed."""
 
-STILL_OPEN_PART: Final = 0.62
-"""The part of the grace for which a leaving node takes new connections: callers that
-kept its address since before come until then, and their work still ends in time."""
+ACCEPTING_FRACTION: Final = 0.62
+"""Fraction of the grace period in which a leaving node accepts new connections. Callers
+that cached its address connect until then, and their requests still end in time."""
 
-LAST_PART: Final = 0.88
-"""The part of the grace after which what still runs is given up: the process needs the
-rest to end by itself on a busy host."""
+GIVE_UP_FRACTION: Final = 0.88
+"""Fraction of the grace period after which running requests are given up. The process
+needs the rest to exit by itself on a busy host."""
 
 READY_MARGIN_MS: Final = 500.0
-"""A node stops calling itself ready this long before it must refuse keys, so that
-callers are elsewhere by then."""
+"""A node reports itself not ready this long before it must refuse keys, so that callers
+have moved to other nodes by then."""
 
 
 class Ports(Service):
@@ -69,21 +69,23 @@
         self._entry = entry
         self._metrics = metrics
         self._log = Logger("ports")
-        self._callers: asyncio.Server | None = None
-        self._others: list[asyncio.Server] = []
+        self._caller_listener: asyncio.Server | None = None
+        self._other_servers: list[asyncio.Server] = []
         self._caller_server = CallerServer(entry, self._limits)
 
     async def start(self) -> None:
         """Open all ports."""
         settings = self._settings
-        self._callers = await _listen(settings.caller_address, self._caller_server)
+        self._caller_listener = await _listen(
+            settings.caller_address, self._caller_server
+        )
         for address, handler in (
             (settings.ready_address, self._ready),
             (settings.where_address, self._where),
             (f"{settings.ip}:{settings.metrics_port}", self._scrape),
         ):
             server = web.Server(handler, access_log=None)
-            self._others.append(await _listen(address, server))
+            self._other_servers.append(await _listen(address, server))
         self._membership.is_ready = self._is_ready
 
     def _limits(self) -> CallerLimits:
@@ -118,40 +120,42 @@
 
     def _addresses(self, domain: str) -> list[str]:
         open_nodes = self._knowledge.open_nodes
-        near = [address for address, place in open_nodes if place == domain]
-        if len(near) < NEAR_ENOUGH:
-            near = [address for address, _ in open_nodes]
-        if not near and self._is_ready():
-            near = [self._settings.caller_address]
-        return near[:ADDRESSES_MAX]
+        local = [
+            address for address, node_domain in open_nodes if node_domain == domain
+        ]
+        if len(local) < MIN_LOCAL_NODES:
+            local = [address for address, _ in open_nodes]
+        if not local and self._is_ready():
+            local = [self._settings.caller_address]
+        return local[:MAX_ADDRESSES]
 
     async def _scrape(self, request: web.BaseRequest) -> web.StreamResponse:
         self._metrics.set(instruments.LOG_DROPPED, self._lines.dropped)
         return web.Response(body=self._metrics.render(), content_type="text/plain")
 
     async def drain(self) -> None:
-        """Leave without cutting a request: see the constants for the times."""
+        """Leave without aborting requests; the fractions above give the times."""
         began_ms = now_ms()
         grace_ms = self._bounds.now.grace_ms
         self._membership.leave()
         self._entry.leaving = True
-        await asyncio.sleep(grace_ms * STILL_OPEN_PART / 1e3)
-        await self._close_callers()
-        last_ms = began_ms + grace_ms * LAST_PART
-        while self._entry.running and now_ms() < last_ms:
+        await asyncio.sleep(grace_ms * ACCEPTING_FRACTION / 1e3)
+        await self._close_caller_port()
+        give_up_ms = began_ms + grace_ms * GIVE_UP_FRACTION
+        while self._entry.running and now_ms() < give_up_ms:
             await asyncio.sleep(0.02)
         log_state_change(self._log, "drained", running=self._entry.running)
 
-    async def _close_callers(self) -> None:
-        if self._callers is not None:
-            self._callers.close()
-            self._callers = None
+    async def _close_caller_port(self) -> None:
+        if self._caller_listener is not None:
+            self._caller_listener.close()
+            self._caller_listener = None
         self._caller_server.pre_shutdown()
 
     async def stop(self) -> None:
         """Close all ports."""
-        await self._close_callers()
-        for server in self._others:
+        await self._close_caller_port()
+        for server in self._other_servers:
             server.close()
 
 
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -1,4 +1,4 @@
-"""Ask a customer's keeper for leave, and keep the customers that fall to this node."""
+"""Spend tokens at customers' quota keepers, and keep the quotas of this node."""
 
 import asyncio
 from typing import ClassVar, Final
@@ -28,22 +28,22 @@
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
 
-SILENT_S: Final = 0.09
-CLEAR_S: Final = 0.1
-AGAIN_S: Final = 0.06
-"""A keeper that has just come up, or a view that is on its way, is there after this."""
+REPLY_TIMEOUT_S: Final = 0.09
+RELEASE_TIMEOUT_S: Final = 0.1
+RETRY_INTERVAL_S: Final = 0.06
+"""Delay after which a starting keeper or a view in transit is available."""
 
-TRIES: Final = 2
+MIN_ATTEMPTS: Final = 2
 
 SETTLING_MS: Final = 1_500.0
-"""For this long after its start a node may meet keepers that the view does not name
-yet: after the loss of a whole fleet the view with the new processes takes 0.7 s."""
+"""Time after its start in which a node waits for keepers that the view doesn't name:
+after the loss of a whole fleet, the view with the new processes takes 0.7 s."""
 
-GAP_RETRY_MS: Final = 600.0
+NO_KEEPER_RETRY_MS: Final = 600.0
 
 
 class Quota(Service):
-    """Spend customers' tokens, wherever they are kept."""
+    """Spend customers' tokens at their keepers."""
 
     name: ClassVar[str] = "quota"
     needs: ClassVar[tuple[str, ...]] = ("exchange", "knowledge", "membership")
@@ -69,19 +69,19 @@
         )
         self._reserve = QuotaReserve(node.host, bounds.now.quota_window_ms, now_ms())
         self._configuration_version = -1
-        self._clearing: dict[CustomerId, asyncio.Task[None]] = {}
+        self._collecting: dict[CustomerId, asyncio.Task[None]] = {}
         self._keepers: dict[CustomerId, HostId] = {}
         self._keepers_view = -1
         self._log = Logger("quota")
 
     async def start(self) -> None:
-        """Begin to answer."""
+        """Register the message handlers."""
         self._exchange.handle(SpendAsk, self._spend_ask)
         self._exchange.handle(ReleaseAsk, self._release_ask)
         self._knowledge.listen(self._learn)
 
     def expired_keys(self) -> set[ViewEntryKey]:
-        """Return the stays of former members whose proofs have run out."""
+        """Return entries of previous members whose confirmations have expired."""
         return self._keeper.expired_keys(now_ms())
 
     def _learn(self) -> None:
@@ -98,90 +98,92 @@
             self._keepers.clear()
 
     async def _spend_ask(
-        self, ask: SpendAsk, sender: Address
+        self, message: SpendAsk, sender: Address
     ) -> SpendAnswer | RefusedAnswer | NotMineAnswer:
-        customer = CustomerId(ask.customer)
-        answer = self._keeper.spend(customer, ask.wait_limit_ms, now_ms())
-        if isinstance(answer, NotKept) and self._keeper.ranks_first(customer):
-            await self._clear(customer)
-            answer = self._keeper.spend(customer, ask.wait_limit_ms, now_ms())
-        if isinstance(answer, Admitted):
-            return SpendAnswer(round(answer.wait_ms, 1))
-        if isinstance(answer, OverRate):
-            return RefusedAnswer("rate", round(answer.retry_after_ms, 1))
+        customer = CustomerId(message.customer)
+        decision = self._keeper.spend(customer, message.wait_limit_ms, now_ms())
+        if isinstance(decision, NotKept) and self._keeper.ranks_first(customer):
+            await self._collect_releases(customer)
+            decision = self._keeper.spend(customer, message.wait_limit_ms, now_ms())
+        if isinstance(decision, Admitted):
+            return SpendAnswer(round(decision.wait_ms, 1))
+        if isinstance(decision, OverRate):
+            return RefusedAnswer("rate", round(decision.retry_after_ms, 1))
         return NotMineAnswer()
 
-    async def _clear(self, customer: CustomerId) -> None:
-        # One round of asks serves all requests that wait for it.
-        task = self._clearing.get(customer)
+    async def _collect_releases(self, customer: CustomerId) -> None:
+        # One round of release requests serves all spend requests that wait for it.
+        task = self._collecting.get(customer)
         if task is None:
-            task = self.spawn(self._ask_releases(customer))
-            self._clearing[customer] = task
-            task.add_done_callback(lambda _: self._clearing.pop(customer, None))
+            task = self.spawn(self._request_releases(customer))
+            self._collecting[customer] = task
+            task.add_done_callback(lambda _: self._collecting.pop(customer, None))
         await asyncio.wait((task,))
 
-    async def _ask_releases(self, customer: CustomerId) -> None:
+    async def _request_releases(self, customer: CustomerId) -> None:
         view = self._knowledge.view.content
         if view is None:
             return
-        waiting = self._keeper.pending_releases(customer, now_ms())
+        pending = self._keeper.pending_releases(customer, now_ms())
         await asyncio.gather(
-            *(self._ask_release(customer, seat, view.number) for seat in waiting)
+            *(self._request_release(customer, entry, view.number) for entry in pending)
         )
 
-    async def _ask_release(
-        self, customer: CustomerId, seat: ViewEntry, view_number: int
+    async def _request_release(
+        self, customer: CustomerId, entry: ViewEntry, view_number: int
     ) -> None:
-        to = (seat.node.ip, seat.node.peer_port)
-        answer = await self._exchange.ask(
-            to, ReleaseAsk(customer, view_number), CLEAR_S, CLEAR_S
+        to = (entry.node.ip, entry.node.peer_port)
+        reply = await self._exchange.ask(
+            to, ReleaseAsk(customer, view_number), RELEASE_TIMEOUT_S, RELEASE_TIMEOUT_S
         )
-        if not isinstance(answer, ReleaseAnswer):
+        if not isinstance(reply, ReleaseAnswer):
             return
-        self._keeper.record_release(customer, seat.key, answer.tokens, now_ms())
+        self._keeper.record_release(customer, entry.key, reply.tokens, now_ms())
         log_state_change(
             self._log,
             "quota handed over",
             customer=customer,
-            by=seat.node.host,
-            tokens=round(answer.tokens, 1),
+            by=entry.node.host,
+            tokens=round(reply.tokens, 1),
         )
 
-    async def _release_ask(self, ask: ReleaseAsk, sender: Address) -> ReleaseAnswer:
+    async def _release_ask(self, message: ReleaseAsk, sender: Address) -> ReleaseAnswer:
         tokens = self._keeper.release(
-            CustomerId(ask.customer), ask.view_number, now_ms()
+            CustomerId(message.customer), message.view_number, now_ms()
         )
         return ReleaseAnswer(tokens)
 
     async def spend(
-        self, rule: CustomerRule, wait_limit_ms: float, patient_until_ms: float
+        self, rule: CustomerRule, wait_limit_ms: float, wait_until_ms: float
     ) -> Admitted | OverRate | NotKept:
-        """Take a token of a customer from its keeper, or from the reserve.
+        """Spend a customer's token at its keeper, or from the local reserve.
 
-        While this node has just started, its callers wait for a keeper and for its
-        tokens up to a time.
+        Shortly after this node's start, callers wait for a keeper and for its tokens
+        until ``wait_until_ms``.
         """
         if rule.rate_per_s <= 0:
             return Admitted(0.0)
-        settled_ms = self._knowledge.born_ms + SETTLING_MS
-        patient_until_ms = min(patient_until_ms, settled_ms)
+        startup_end_ms = self._knowledge.born_ms + SETTLING_MS
+        wait_until_ms = min(wait_until_ms, startup_end_ms)
         attempt = 0
-        while attempt < TRIES or now_ms() < patient_until_ms:
+        while attempt < MIN_ATTEMPTS or now_ms() < wait_until_ms:
             if attempt:
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
             attempt += 1
             to = self._keeper_address(rule)
             if to is None:
                 continue
-            # Keepers that have just opened hold no tokens yet, and all callers of a
-            # fleet that was away come at once.
-            limit_ms = max(wait_limit_ms, patient_until_ms - now_ms())
-            ask = SpendAsk(rule.customer, round(limit_ms))
-            answer = await self._exchange.ask(to, ask, SILENT_S, 2 * SILENT_S)
-            if isinstance(answer, SpendAnswer):
-                return Admitted(answer.wait_ms)
-            if isinstance(answer, RefusedAnswer):
-                return OverRate(answer.retry_after_ms)
+            # Keepers that have just started hold no tokens yet, and all callers of a
+            # fleet that was down retry at once.
+            limit_ms = max(wait_limit_ms, wait_until_ms - now_ms())
+            message = SpendAsk(rule.customer, round(limit_ms))
+            reply = await self._exchange.ask(
+                to, message, REPLY_TIMEOUT_S, 2 * REPLY_TIMEOUT_S
+            )
+            if isinstance(reply, SpendAnswer):
+                return Admitted(reply.wait_ms)
+            if isinstance(reply, RefusedAnswer):
+                return OverRate(reply.retry_after_ms)
         return self._spend_reserve(rule)
 
     def _spend_reserve(self, rule: CustomerRule) -> Admitted | NotKept:
@@ -196,7 +198,7 @@
         return NotKept()
 
     def keeper_of(self, rule: CustomerRule) -> HostId | None:
-        """Return the member that keeps a customer in the view in force."""
+        """Return the member that keeps a customer's quota in the view in force."""
         view = self._knowledge.view.content
         if view is None:
             return None
--- a/src/crocusspindle/gateway/reported_limits.py
+++ b/src/crocusspindle/gateway/reported_limits.py
@@ -1,4 +1,4 @@
-"""Remember the limits that targets have named to this node."""
+"""Store the rate limits that targets have reported to this node."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -6,21 +6,22 @@
 from crocusspindle.core.listed_target import TargetIdentity
 from crocusspindle.core.rate_limit import LimitReport
 
-REMEMBERED_MS: Final = 10_000.0
-"""A target that still has a limit has named it again within this, if it gets work."""
+RETENTION_MS: Final = 10_000.0
+"""A target that still has a limit and gets requests reports it again within this."""
 
 
 class ReportedLimits:
-    """Hold limits, for placers that may not know them.
+    """Hold limits for placers that may not know them.
 
-    A placer that has just taken over has heard no answer yet. Its first asks tell it.
+    A placer that has just taken over has received no outcome yet. It learns the limits
+    from the first placement requests.
     """
 
     def __init__(self) -> None:
         self._reports: dict[TargetIdentity, LimitReport] = {}
 
-    def take(self, report: LimitReport) -> None:
-        """Take over what an answer named, which this node has passed on."""
+    def record(self, report: LimitReport) -> None:
+        """Record the limit in a response that this node forwarded."""
         known = self._reports.get(report.target)
         if known is not None and known.sent_ms > report.sent_ms:
             return
@@ -30,18 +31,18 @@
             self._reports[report.target] = report
 
     def recent(self, now_ms: float) -> list[LimitReport]:
-        """Return the limits that are not forgotten yet."""
+        """Return the limits reported within the retention time."""
         if not self._reports:
             return []
-        since_ms = now_ms - REMEMBERED_MS
-        self._reports = {t: s for t, s in self._reports.items() if s.sent_ms > since_ms}
+        since_ms = now_ms - RETENTION_MS
+        self._reports = {t: r for t, r in self._reports.items() if r.sent_ms > since_ms}
         return list(self._reports.values())
 
 
 def packed_limits(
     limits: Iterable[LimitReport], now_ms: float
 ) -> list[tuple[str, float, int]]:
-    """Return limits as plain lists; what says nothing is left out."""
+    """Return limits as tuples with their age in ms, leaving out reports of no limit."""
     return [
         (report.target, report.limit_per_s, round(now_ms - report.sent_ms))
         for report in limits
@@ -50,10 +51,10 @@
 
 
 def unpacked_limits(
-    parts: Iterable[tuple[str, float, int]], now_ms: float
+    packed: Iterable[tuple[str, float, int]], now_ms: float
 ) -> list[LimitReport]:
     """Return the limits of `packed_limits`."""
     return [
         LimitReport(TargetIdentity(target), limit_per_s, now_ms - age_ms)
-        for target, limit_per_s, age_ms in parts
+        for target, limit_per_s, age_ms in packed
     ]
--- a/src/crocusspindle/gateway/sender.py
+++ b/src/crocusspindle/gateway/sender.py
@@ -1,4 +1,4 @@
-"""Send one request to one target, once, and judge how it ended."""
+"""Send one request to one target, once, and classify the outcome."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,13 +18,13 @@
 from crocusspindle.log_lines import Logger, log_state_change
 from crocusspindle.services.targets import CONNECT_TIMEOUT_S, forwarded
 
-BUFFER_BYTES: Final = 1 << 20
-"""An answer up to this size is taken whole before any of it goes on, so that one that
-breaks off is never passed on as if it were whole."""
+MAX_BUFFERED_BYTES: Final = 1 << 20
+"""Responses up to this size are read completely before any of it is forwarded, so that
+a truncated one is never passed on as complete."""
 
 READ_BYTES: Final = 1 << 16
-PROMISES: Final = frozenset({408, 421, 429, 503})
-"""Statuses that promise a caller that its request was not run."""
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
+"""Statuses that guarantee to a caller that its request was not run."""
 
 CONNECTION_LOST: Final = (
     aiohttp.ServerDisconnectedError,
@@ -32,16 +32,16 @@
     aiohttp.ClientPayloadError,
 )
 CRASH_CHECK_S: Final = 0.1
-"""A target that lives takes a connection within a few milliseconds."""
+"""A running target accepts a connection within a few milliseconds."""
 
 SERVER_ERROR: Final = 500
 MISDIRECTED: Final = 421
-SUCCESS: Final = range(200, 300)
+SUCCESS_STATUSES: Final = range(200, 300)
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
-    """Hold what is sent: the head as it came and a body, whole or streaming."""
+class OutgoingRequest:
+    """Hold a request to a target: the received head, a buffered or streamed body."""
 
     request_id: str
     method: str
@@ -51,8 +51,8 @@
 
 
 @dataclass(slots=True)
-class Answer:
-    """Hold a target's whole answer, or its first part and the rest."""
+class TargetResponse:
+    """Hold a target's whole response, or its prefix and the unread rest."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -61,21 +61,21 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """Tell how a sending ended."""
+class AttemptResult:
+    """Hold the result of one attempt."""
 
-    ending: AttemptOutcome
+    outcome: AttemptOutcome
     latency_ms: float
-    answer: Answer | None = None
+    target_response: TargetResponse | None = None
     detail: str = ""
     limit_per_s: float | None = None
 
 
-class Sender:
-    """Send requests, each on a connection of its own.
+class TargetClient:
+    """Send requests, each on a new connection.
 
-    A kept connection can hold a late or doubled answer of the request before, or
-    have been forgotten by the target. Either gives a caller the wrong answer or none.
+    A reused connection can hold a late or duplicate response to the previous request,
+    or have been closed by the target: the caller would get a wrong response or none.
     """
 
     def __init__(self, dialect: Dialect) -> None:
@@ -97,8 +97,8 @@
             ),
             timeout=aiohttp.ClientTimeout(sock_connect=CONNECT_TIMEOUT_S),
         )
-        # The library sends a GET again by itself when a connection breaks. Every
-        # sending counts against the fleet's bound on repeats, so it must be ours.
+        # By default the library resends a GET when a connection breaks. Every attempt
+        # must count against the fleet's retry budget, so this is turned off.
         self._session._retry_connection = False
 
     async def stop(self) -> None:
@@ -107,29 +107,33 @@
             await self._session.close()
 
     async def send(
-        self, target: ListedTarget, outgoing: Outgoing, deadline_ms: float
-    ) -> Sent:
-        """Send a request and return how it ended, by its deadline."""
+        self, target: ListedTarget, outgoing: OutgoingRequest, deadline_ms: float
+    ) -> AttemptResult:
+        """Send a request and return its result by the deadline."""
         began_ms = now_ms()
         try:
             async with asyncio.timeout(remaining_s(deadline_ms)):
-                sent = await self._exchange(target, outgoing, deadline_ms)
+                result = await self._exchange(target, outgoing, deadline_ms)
         except aiohttp.ConnectionTimeoutError as error:
-            sent = Sent(AttemptOutcome.UNREACHED, 0.0, detail=str(error))
+            result = AttemptResult(AttemptOutcome.UNREACHED, 0.0, detail=str(error))
         except aiohttp.ClientConnectorError as error:
-            sent = Sent(AttemptOutcome.CLOSED, 0.0, detail=str(error))
+            result = AttemptResult(AttemptOutcome.CLOSED, 0.0, detail=str(error))
         except TimeoutError:
-            sent = Sent(AttemptOutcome.SILENT, 0.0, detail="no answer in time")
+            result = AttemptResult(
+                AttemptOutcome.SILENT, 0.0, detail="no response before the deadline"
+            )
         except CONNECTION_LOST as error:
-            sent = Sent(await self._loss(target), 0.0, detail=repr(error))
+            result = AttemptResult(
+                await self._classify_lost_connection(target), 0.0, detail=repr(error)
+            )
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            sent = Sent(AttemptOutcome.BROKEN, 0.0, detail=repr(error))
-        sent.latency_ms = now_ms() - began_ms
-        return sent
+            result = AttemptResult(AttemptOutcome.BROKEN, 0.0, detail=repr(error))
+        result.latency_ms = now_ms() - began_ms
+        return result
 
-    async def _loss(self, target: ListedTarget) -> AttemptOutcome:
-        # A gray target that breaks connections takes the next one; the port of a
-        # process that ended refuses it.
+    async def _classify_lost_connection(self, target: ListedTarget) -> AttemptOutcome:
+        # A gray target that breaks connections accepts the next one; the port of a
+        # process that has exited refuses it.
         host, _, port = target.address.rpartition(":")
         try:
             async with asyncio.timeout(CRASH_CHECK_S):
@@ -142,8 +146,8 @@
         return AttemptOutcome.BROKEN
 
     async def _exchange(
-        self, target: ListedTarget, outgoing: Outgoing, deadline_ms: float
-    ) -> Sent:
+        self, target: ListedTarget, outgoing: OutgoingRequest, deadline_ms: float
+    ) -> AttemptResult:
         assert self._session is not None
         headers = CIMultiDict(outgoing.headers)
         headers[self._dialect.target_identity] = target.identity
@@ -157,10 +161,10 @@
             allow_redirects=False,
         )
         try:
-            sent = await self._judge(response, outgoing)
-            if sent.ending is not AttemptOutcome.MISDIRECTED:
-                sent.limit_per_s = self._limit_per_s(target, response)
-            return sent
+            result = await self._classify_response(response, outgoing)
+            if result.outcome is not AttemptOutcome.MISDIRECTED:
+                result.limit_per_s = self._limit_per_s(target, response)
+            return result
         except BaseException:
             response.close()
             raise
@@ -176,54 +180,68 @@
             )
             return None
 
-    async def _judge(
-        self, response: aiohttp.ClientResponse, outgoing: Outgoing
-    ) -> Sent:
+    async def _classify_response(
+        self, response: aiohttp.ClientResponse, outgoing: OutgoingRequest
+    ) -> AttemptResult:
         echoed = response.headers.get(self._dialect.request_id)
         if echoed is not None and echoed != outgoing.request_id:
             response.close()
-            return Sent(AttemptOutcome.BROKEN, 0.0, detail="answer of another request")
-        refused = self._refusal(response)
+            return AttemptResult(
+                AttemptOutcome.BROKEN, 0.0, detail="response to another request"
+            )
+        refused = self._classify_refusal(response)
         if refused is not None:
             response.close()
             return refused
-        body, whole = await _first_part(response)
-        if response.status in SUCCESS and not self._proper(response):
+        body, complete = await _read_prefix(response)
+        if response.status in SUCCESS_STATUSES and not self._is_valid_success(response):
             response.close()
-            return Sent(AttemptOutcome.BROKEN, 0.0, detail="not the target's answer")
-        answer = Answer(response.status, forwarded(response.headers), body)
-        if not whole:
-            answer.rest = response
+            return AttemptResult(
+                AttemptOutcome.BROKEN, 0.0, detail="response is not from the target"
+            )
+        target_response = TargetResponse(
+            response.status, forwarded(response.headers), body
+        )
+        if not complete:
+            target_response.rest = response
         failed = response.status >= SERVER_ERROR
-        return Sent(
-            AttemptOutcome.ERROR if failed else AttemptOutcome.ANSWERED, 0.0, answer
+        return AttemptResult(
+            AttemptOutcome.ERROR if failed else AttemptOutcome.ANSWERED,
+            0.0,
+            target_response,
         )
 
-    def _refusal(self, response: aiohttp.ClientResponse) -> Sent | None:
+    def _classify_refusal(
+        self, response: aiohttp.ClientResponse
+    ) -> AttemptResult | None:
         if response.status == MISDIRECTED:
-            return Sent(
-                AttemptOutcome.MISDIRECTED, 0.0, detail="another target is there"
+            return AttemptResult(
+                AttemptOutcome.MISDIRECTED, 0.0, detail="another target at this address"
             )
         if self._dialect.not_run in response.headers:
-            return Sent(AttemptOutcome.SHED, 0.0, detail=f"status {response.status}")
-        if response.status in PROMISES:
-            # Without the header nothing says that the request was not run, and the
-            # status would tell the caller just that.
-            return Sent(AttemptOutcome.ERROR, 0.0, detail=f"status {response.status}")
+            return AttemptResult(
+                AttemptOutcome.SHED, 0.0, detail=f"status {response.status}"
+            )
+        if response.status in NOT_RUN_STATUSES:
+            # These statuses tell the caller that the request was not run. Without the
+            # header of the target that isn't known, so they must not be passed on.
+            return AttemptResult(
+                AttemptOutcome.ERROR, 0.0, detail=f"status {response.status}"
+            )
         return None
 
-    def _proper(self, response: aiohttp.ClientResponse) -> bool:
+    def _is_valid_success(self, response: aiohttp.ClientResponse) -> bool:
         return (
             self._dialect.target_stamp in response.headers
             and "Content-Encoding" not in response.headers
         )
 
 
-async def _first_part(response: aiohttp.ClientResponse) -> tuple[bytes, bool]:
-    parts = bytearray()
-    while len(parts) < BUFFER_BYTES:
-        part = await response.content.read(READ_BYTES)
-        if not part:
-            return bytes(parts), True
-        parts += part
-    return bytes(parts), response.content.at_eof()
+async def _read_prefix(response: aiohttp.ClientResponse) -> tuple[bytes, bool]:
+    prefix = bytearray()
+    while len(prefix) < MAX_BUFFERED_BYTES:
+        chunk = await response.content.read(READ_BYTES)
+        if not chunk:
+            return bytes(prefix), True
+        prefix += chunk
+    return bytes(prefix), response.content.at_eof()
--- a/src/crocusspindle/gateway/sending.py
+++ b/src/crocusspindle/gateway/sending.py
@@ -1,4 +1,4 @@
-"""Send one request until it is answered or may not be sent again."""
+"""Attempt one request until it is answered or may not be retried."""
 
 import asyncio
 import random
@@ -11,24 +11,24 @@
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.gateway import instruments
 from crocusspindle.gateway.answers import Refusal
-from crocusspindle.gateway.case import Case
+from crocusspindle.gateway.case import RequestContext
 from crocusspindle.gateway.dialect import Dialect
 from crocusspindle.gateway.placing import Place, Placing
-from crocusspindle.gateway.sender import Sender, Sent
+from crocusspindle.gateway.sender import AttemptResult, TargetClient
 from crocusspindle.ids import ServiceId
 from crocusspindle.metrics import Metrics
 
-HEDGE_AGAIN_MS: Final = 150.0
-"""A second sending that found no room is tried again after this: slots come free often
-enough, and a request whose target hangs has nothing else to hope for."""
+HEDGE_RETRY_MS: Final = 150.0
+"""Delay before a hedge that found no free slot is requested again. Slots become free
+often enough, and a request whose target hangs has no other way to complete."""
 
-TARGETS_TRIED_MAX: Final = 4
-"""Targets that may refuse a request, or not be reached, before its caller hears that it
-was not run. Of targets half of which refuse, one request in sixteen meets four."""
+MAX_TARGETS_TRIED: Final = 4
+"""Targets that may refuse a request or be unreachable before the caller is told that it
+was not run. If half of the targets refuse, one request in sixteen meets four."""
 
 
 class Sending:
-    """Have requests placed, send them, repeat and hedge what may be repeated."""
+    """Place and send requests; retry and hedge those that may run more than once."""
 
     def __init__(
         self,
@@ -36,158 +36,177 @@
         dialect: Dialect,
         placing: Placing,
         metrics: Metrics,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._node = node
         self._placing = placing
         self._metrics = metrics
-        self._draw = draw
-        self._sender = Sender(dialect)
+        self._rng = rng
+        self._client = TargetClient(dialect)
 
     async def start(self) -> None:
         """Open the connections to targets."""
-        await self._sender.start()
+        await self._client.start()
 
     async def stop(self) -> None:
         """Close the connections to targets."""
-        await self._sender.stop()
+        await self._client.stop()
 
-    async def send(self, case: Case) -> Sent:
-        """Return how the last sending ended; raise ``Refusal`` if none took place."""
-        service = choose_service(case.route.weighted_services, self._draw.random())
+    async def send(self, context: RequestContext) -> AttemptResult:
+        """Return the last attempt's result; raise ``Refusal`` if there was none."""
+        service = choose_service(context.route.weighted_services, self._rng.random())
         retry = False
-        last: Sent | None = None
+        last_result: AttemptResult | None = None
         while True:
-            place = await self._place(case, service, retry, last)
-            if isinstance(place, Sent):
-                return place
-            last = await self._send_watched(case, place, service)
-            if not self._again(case, last):
-                return last
-            retry = case.arrived > 0
-
-    async def _place(
+            placement = await self._request_placement(
+                context, service, retry, last_result
+            )
+            if isinstance(placement, AttemptResult):
+                return placement
+            last_result = await self._attempt_with_hedge(context, placement, service)
+            if not self._should_retry(context, last_result):
+                return last_result
+            retry = context.arrived_attempts > 0
+
+    async def _request_placement(
         self,
-        case: Case,
+        context: RequestContext,
         service: ServiceId,
         retry: bool,
-        last: Sent | None,
+        last_result: AttemptResult | None,
         hedge: bool = False,
-    ) -> Place | Sent:
-        ask = PlacementRequest(
+    ) -> Place | AttemptResult:
+        placement_request = PlacementRequest(
             sender=self._node.host,
             domain=self._node.domain,
-            route=case.route.name,
-            idempotent=case.route.kind.idempotent,
-            priority=min(case.priority, LOWEST_PRIORITY),
-            aim_ms=max(0.0, case.route.aim_ms - (now_ms() - case.began_ms)),
-            deadline_ms=case.ends_ms,
+            route=context.route.name,
+            idempotent=context.route.kind.idempotent,
+            priority=min(context.priority, LOWEST_PRIORITY),
+            aim_ms=max(0.0, context.route.aim_ms - (now_ms() - context.began_ms)),
+            deadline_ms=context.deadline_ms,
             retry=retry,
             hedge=hedge,
-            body_bytes=case.body_bytes,
-            content=case.content,
-            excluded=frozenset(case.tried),
+            body_bytes=context.body_bytes,
+            content=context.content,
+            excluded=frozenset(context.tried_targets),
         )
-        place = await self._placing.place(service, ask)
-        if isinstance(place, Place):
-            return place
-        if last is not None and last.ending.may_have_run:
-            return last
-        raise Refusal(503, place.reason, place.retry_after_ms)
-
-    def _again(self, case: Case, sent: Sent) -> bool:
+        placement = await self._placing.place(service, placement_request)
+        if isinstance(placement, Place):
+            return placement
+        if last_result is not None and last_result.outcome.may_have_run:
+            return last_result
+        raise Refusal(503, placement.reason, placement.retry_after_ms)
+
+    def _should_retry(self, context: RequestContext, result: AttemptResult) -> bool:
         """Return True if the request should be sent to another target."""
-        if sent.ending is AttemptOutcome.ANSWERED:
+        if result.outcome is AttemptOutcome.ANSWERED:
             return False
-        streamed = not isinstance(case.outgoing.body, bytes | None)
-        if streamed or now_ms() >= case.ends_ms:
+        streamed = not isinstance(context.outgoing.body, bytes | None)
+        if streamed or now_ms() >= context.deadline_ms:
             return False
-        if not sent.ending.may_have_run:
-            return len(case.tried) < TARGETS_TRIED_MAX
-        return case.route.kind.idempotent and case.arrived < case.route.attempts
-
-    async def _send_watched(self, case: Case, place: Place, service: ServiceId) -> Sent:
-        """Send; if a repeatable request stays unanswered, try a second target."""
-        first = asyncio.create_task(self._send_once(case, place))
-        second: asyncio.Task[Sent] | None = None
+        if not result.outcome.may_have_run:
+            return len(context.tried_targets) < MAX_TARGETS_TRIED
+        return (
+            context.route.kind.idempotent
+            and context.arrived_attempts < context.route.attempts
+        )
+
+    async def _attempt_with_hedge(
+        self, context: RequestContext, placement: Place, service: ServiceId
+    ) -> AttemptResult:
+        """Send; hedge to a second target if an idempotent request stays unanswered."""
+        first = asyncio.create_task(self._attempt(context, placement))
+        second: asyncio.Task[AttemptResult] | None = None
         try:
-            wait_ms = place.hedge_after_ms
-            while second is None and self._may_hedge(case, wait_ms):
+            wait_ms = placement.hedge_after_ms
+            while second is None and self._may_hedge(context, wait_ms):
                 done, _ = await asyncio.wait((first,), timeout=wait_ms / 1e3)
                 if done:
                     break
-                second = await self._hedge(case, service)
-                wait_ms = HEDGE_AGAIN_MS
+                second = await self._start_hedge(context, service)
+                wait_ms = HEDGE_RETRY_MS
             if second is None:
                 return await first
-            return await _first_answer(first, second)
+            return await _first_answered(first, second)
         finally:
-            left = [task for task in (first, second) if task is not None]
-            for task in left:
+            unfinished = [task for task in (first, second) if task is not None]
+            for task in unfinished:
                 task.cancel()
-            # Their endings belong to the placer and to this request's log line.
-            await asyncio.gather(*left, return_exceptions=True)
+            # Wait until their outcomes reach the placer and this request's log line.
+            await asyncio.gather(*unfinished, return_exceptions=True)
 
-    def _may_hedge(self, case: Case, wait_ms: float) -> bool:
+    def _may_hedge(self, context: RequestContext, wait_ms: float) -> bool:
         return (
-            now_ms() + wait_ms < case.ends_ms
-            and case.route.kind.idempotent
-            and case.arrived == 0
-            and case.route.attempts > 1
-            and isinstance(case.outgoing.body, bytes | None)
+            now_ms() + wait_ms < context.deadline_ms
+            and context.route.kind.idempotent
+            and context.arrived_attempts == 0
+            and context.route.attempts > 1
+            and isinstance(context.outgoing.body, bytes | None)
         )
 
-    async def _hedge(self, case: Case, service: ServiceId) -> asyncio.Task[Sent] | None:
+    async def _start_hedge(
+        self, context: RequestContext, service: ServiceId
+    ) -> asyncio.Task[AttemptResult] | None:
         try:
-            place = await self._place(case, service, True, None, hedge=True)
+            placement = await self._request_placement(
+                context, service, True, None, hedge=True
+            )
         except Refusal:
             return None
-        if isinstance(place, Sent):
+        if isinstance(placement, AttemptResult):
             return None
-        return asyncio.create_task(self._send_once(case, place))
+        return asyncio.create_task(self._attempt(context, placement))
 
-    async def _send_once(self, case: Case, place: Place) -> Sent:
+    async def _attempt(
+        self, context: RequestContext, placement: Place
+    ) -> AttemptResult:
         began_ms = now_ms()
-        case.tried.add(place.target.identity)
-        ending, sent = AttemptOutcome.ABANDONED, None
+        context.tried_targets.add(placement.target.identity)
+        outcome, result = AttemptOutcome.ABANDONED, None
         try:
-            sent = await self._sender.send(place.target, case.outgoing, case.ends_ms)
-            ending = sent.ending
-            if ending is AttemptOutcome.CRASHED:
-                await self._placing.crashed(place, case.content, sent.latency_ms)
-            return sent
+            result = await self._client.send(
+                placement.target, context.outgoing, context.deadline_ms
+            )
+            outcome = result.outcome
+            if outcome is AttemptOutcome.CRASHED:
+                await self._placing.report_crash(
+                    placement, context.content, result.latency_ms
+                )
+            return result
         finally:
             latency_ms = now_ms() - began_ms
-            if ending is not AttemptOutcome.CRASHED:
-                limit_per_s = sent.limit_per_s if sent else None
-                self._placing.ended(
-                    place, case.content, ending, latency_ms, limit_per_s
+            if outcome is not AttemptOutcome.CRASHED:
+                limit_per_s = result.limit_per_s if result else None
+                self._placing.report_outcome(
+                    placement, context.content, outcome, latency_ms, limit_per_s
                 )
-            case.arrived += ending.arrived
-            case.may_have_run |= ending.may_have_run
-            case.sends.append(
+            context.arrived_attempts += outcome.arrived
+            context.may_have_run |= outcome.may_have_run
+            context.attempt_records.append(
                 {
-                    "target": place.target.identity,
-                    "domain": place.target.domain,
-                    "placer": place.placer,
-                    "ending": ending.value,
-                    "after_ms": round(began_ms - case.began_ms),
+                    "target": placement.target.identity,
+                    "domain": placement.target.domain,
+                    "placer": placement.placer,
+                    "ending": outcome.value,
+                    "after_ms": round(began_ms - context.began_ms),
                     "latency_ms": round(latency_ms),
-                    "detail": sent.detail if sent else "",
-                    "limit_per_s": sent.limit_per_s if sent else None,
+                    "detail": result.detail if result else "",
+                    "limit_per_s": result.limit_per_s if result else None,
                 }
             )
-            self._metrics.add(instruments.SENDINGS, ending=ending.value)
+            self._metrics.add(instruments.SENDINGS, ending=outcome.value)
 
 
-async def _first_answer(first: asyncio.Task[Sent], second: asyncio.Task[Sent]) -> Sent:
+async def _first_answered(
+    first: asyncio.Task[AttemptResult], second: asyncio.Task[AttemptResult]
+) -> AttemptResult:
     running = {first, second}
-    sent: Sent | None = None
+    result: AttemptResult | None = None
     while running:
         done, running = await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
-            sent = task.result()
-            if sent.ending is AttemptOutcome.ANSWERED:
-                return sent
-    assert sent is not None
-    return sent
+            result = task.result()
+            if result.outcome is AttemptOutcome.ANSWERED:
+                return result
+    assert result is not None
+    return result
--- a/src/crocusspindle/gateway/strict_connector.py
+++ b/src/crocusspindle/gateway/strict_connector.py
@@ -1,4 +1,4 @@
-"""Open connections whose resets are never taken for the end of an answer."""
+"""Open connections whose resets are never taken for the end of a response."""
 
 import asyncio
 import functools
@@ -10,21 +10,21 @@
 
 
 class StrictResponseHandler(ResponseHandler):
-    """Fail an answer whose connection was reset before its end.
+    """Fail a response whose connection was reset before its end.
 
-    An answer without a length ends with its connection. When a reset comes together
-    with the last bytes, the event loop reports a plain end, and a caller would get a
-    part of an answer as the whole. The socket still holds the error then.
+    A response without a length ends with its connection. If a reset arrives together
+    with the last bytes, the event loop reports a normal end of stream, and a caller
+    would get a truncated response as complete. The socket still holds the error then.
     """
 
     def eof_received(self) -> None:
-        """Look for a reset behind the end of the stream."""
+        """Check for a reset at the end of the stream."""
         if self._socket_error() != 0:
             self._break_payload()
         super().eof_received()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail the answer if its connection broke."""
+        """Fail the response if its connection broke."""
         if exc is not None:
             self._break_payload()
         super().connection_lost(exc)
@@ -39,15 +39,17 @@
     def _break_payload(self) -> None:
         payload = self._payload
         if payload is not None and not payload.is_eof():
-            payload.set_exception(aiohttp.ClientPayloadError("reset within an answer"))
+            payload.set_exception(
+                aiohttp.ClientPayloadError("connection reset within a response")
+            )
 
 
 def strict_connector() -> aiohttp.TCPConnector:
     """Return a connector that opens a new connection for each request."""
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     loop = asyncio.get_running_loop()
-    # The library has no other place to set the class of its connections, and its
-    # types name the class that stands there.
+    # The library has no public way to set the class of its connections, and its types
+    # allow only the default class.
     factory: Any = functools.partial(StrictResponseHandler, loop=loop)
     connector._factory = factory
     return connector
--- a/tests/gateway/test_reported_limits.py
+++ b/tests/gateway/test_reported_limits.py
@@ -1,9 +1,9 @@
-"""See a node remember the limits that its targets have named."""
+"""Tests of the rate limits that targets have reported to a node."""
 
 from crocusspindle.core.listed_target import TargetIdentity
 from crocusspindle.core.rate_limit import LimitReport
 from crocusspindle.gateway.reported_limits import (
-    REMEMBERED_MS,
+    RETENTION_MS,
     ReportedLimits,
     packed_limits,
     unpacked_limits,
@@ -12,26 +12,26 @@
 TARGET = TargetIdentity("t0")
 
 
-def test_a_limit_is_told_until_an_answer_comes_without_it():
-    told = ReportedLimits()
+def test_a_limit_is_kept_until_a_later_response_has_none():
+    limits = ReportedLimits()
     report = LimitReport(TARGET, 1.5, 100.0)
-    told.take(report)
-    assert told.recent(200.0) == [report]
-    told.take(LimitReport(TARGET, None, 50.0))
-    assert told.recent(200.0) == [report]
-    told.take(LimitReport(TARGET, None, 150.0))
-    assert told.recent(200.0) == []
+    limits.record(report)
+    assert limits.recent(200.0) == [report]
+    limits.record(LimitReport(TARGET, None, 50.0))
+    assert limits.recent(200.0) == [report]
+    limits.record(LimitReport(TARGET, None, 150.0))
+    assert limits.recent(200.0) == []
 
 
-def test_a_limit_that_nothing_renewed_is_forgotten():
-    """Guards against a target that stays limited after it has left or changed."""
-    told = ReportedLimits()
-    told.take(LimitReport(TARGET, 1.5, 0.0))
-    assert told.recent(REMEMBERED_MS + 1.0) == []
+def test_a_limit_that_is_not_renewed_expires():
+    """Guards against a target that stays limited after its removal or change."""
+    limits = ReportedLimits()
+    limits.record(LimitReport(TARGET, 1.5, 0.0))
+    assert limits.recent(RETENTION_MS + 1.0) == []
 
 
-def test_limits_travel_as_ages():
-    report = [LimitReport(TARGET, 1.5, 100.0)]
-    assert unpacked_limits(packed_limits(report, 300.0), 1_300.0) == [
+def test_limits_are_sent_with_their_ages():
+    reports = [LimitReport(TARGET, 1.5, 100.0)]
+    assert unpacked_limits(packed_limits(reports, 300.0), 1_300.0) == [
         LimitReport(TARGET, 1.5, 1_100.0)
     ]
--- a/tests/gateway/test_sender.py
+++ b/tests/gateway/test_sender.py
@@ -1,4 +1,4 @@
-"""See what a sending tells of the target that broke it off."""
+"""Tests of the outcome of an attempt whose connection the target breaks."""
 
 import pytest
 from multidict import CIMultiDict
@@ -6,7 +6,7 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
 from crocusspindle.core.target_tracker import AttemptOutcome
-from crocusspindle.gateway.sender import Outgoing, Sender
+from crocusspindle.gateway.sender import OutgoingRequest, TargetClient
 from crocusspindle.ids import DomainId, ServiceId
 from crocusspindle.platform.dialect import dialect
 from crocusspindle_standins.on_platform.target import StampedTarget, Trouble
@@ -14,32 +14,32 @@
 
 @pytest.fixture
 async def target():
-    made = StampedTarget("t0", "books", "a")
-    await made.start("127.0.0.1")
-    yield made
-    await made.stop()
+    started = StampedTarget("t0", "books", "a")
+    await started.start("127.0.0.1")
+    yield started
+    await started.stop()
 
 
 @pytest.fixture
-async def sender():
-    made = Sender(dialect())
-    await made.start()
-    yield made
-    await made.stop()
+async def client():
+    started = TargetClient(dialect())
+    await started.start()
+    yield started
+    await started.stop()
 
 
 @pytest.mark.parametrize(
-    ("path", "trouble", "ending"),
+    ("path", "trouble", "outcome"),
     [
         ("/pages/oak", Trouble.NONE, AttemptOutcome.ANSWERED),
         ("/pages/oak", Trouble.RESETS, AttemptOutcome.BROKEN),
         ("/pages/crashes", Trouble.NONE, AttemptOutcome.CRASHED),
     ],
 )
-async def test_a_process_that_ended_is_told_from_one_that_breaks_connections(
-    target, sender, path, trouble, ending
+async def test_an_exited_process_is_distinguished_from_broken_connections(
+    target, client, path, trouble, outcome
 ):
-    """Guards against crashes that look like a gray target's resets."""
+    """Guards against crashes that are taken for the resets of a gray target."""
     target.trouble = trouble
     listed = ListedTarget(
         TargetIdentity(target.identity),
@@ -50,6 +50,6 @@
         Readiness.READY,
     )
     headers = CIMultiDict({"X-Request-Id": "r1"})
-    outgoing = Outgoing("r1", "GET", path, headers, None)
-    sent = await sender.send(listed, outgoing, now_ms() + 2_000.0)
-    assert sent.ending is ending
+    outgoing = OutgoingRequest("r1", "GET", path, headers, None)
+    result = await client.send(listed, outgoing, now_ms() + 2_000.0)
+    assert result.outcome is outcome
