--- a/tests/gateway/test_caller_port.py
+++ b/tests/gateway/test_caller_port.py
@@ -1,4 +1,4 @@
-"""Keep callers' connections, and end them when they have been idle for long."""
+"""Tests that callers' idle connections are closed at the idle timeout."""
 
 import asyncio
 from types import SimpleNamespace
@@ -12,33 +12,33 @@
 IDLE_MS = 50.4
 
 
-def test_the_end_of_idle_connections_costs_no_processor_time():
-    """Callers keep connections open and say nothing more.
+def test_closing_idle_connections_does_not_spin_on_early_timers():
+    """Callers keep connections open and send nothing more.
 
-    The event loop calls a timer up to a millisecond early. Set again for the same
-    moment it comes early again, and the node spends its processor on that.
+    The event loop fires a timer up to a millisecond early. Set again for the same time,
+    it fires early again and again, which uses up processor time.
     """
-    looks = uvloop.run(_idle_connections())
-    assert looks <= 3 * CONNECTIONS
+    timer_calls = uvloop.run(_close_idle_connections())
+    assert timer_calls <= 3 * CONNECTIONS
 
 
-async def _idle_connections() -> int:
-    looks = 0
+async def _close_idle_connections() -> int:
+    timer_calls = 0
 
-    class Counted(CallerProtocol):
+    class CountingProtocol(CallerProtocol):
         def _process_keepalive(self) -> None:
-            nonlocal looks
-            looks += 1
+            nonlocal timer_calls
+            timer_calls += 1
             super()._process_keepalive()
 
     entry = SimpleNamespace(leaving=False)
     limits = CallerLimits(idle_timeout_ms=IDLE_MS)
     server = CallerServer(entry, lambda: limits)
     loop = asyncio.get_running_loop()
-    listening = await loop.create_server(
-        lambda: Counted(server, entry, limits), "127.0.0.1", 0
+    listener = await loop.create_server(
+        lambda: CountingProtocol(server, entry, limits), "127.0.0.1", 0
     )
-    port = listening.sockets[0].getsockname()[1]
+    port = listener.sockets[0].getsockname()[1]
     connections = []
     for number in range(CONNECTIONS):
         connections.append(await asyncio.open_connection("127.0.0.1", port))
@@ -46,5 +46,5 @@
     for reader, writer in connections:
         assert await asyncio.wait_for(reader.read(), 2.0) == b""
         writer.close()
-    listening.close()
-    return looks
+    listener.close()
+    return timer_calls
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Send requests that end each target that runs them, again and again."""
+"""Repeat requests that crash every target that runs them."""
 
 import asyncio
 from collections import Counter
@@ -17,33 +17,33 @@
 
 GATEWAYS = 4
 TARGETS = 12
-CRASHES_FREE = 3
-"""A request may end as many targets before the fleet has to know it."""
+CRASHES_BEFORE_DETECTION = 3
+"""Targets that a request may crash before the fleet has to quarantine it."""
 
-KNOWN_WITHIN_S = 3.0
-RETRIES_MOST = 3
-"""Sendings allowed to a request from then on."""
+DETECTION_S = 3.0
+MAX_RETRIES = 3
+"""Attempts allowed to a request after detection."""
 
-SERVED_LEAST = 0.95
-AGAIN_S = 0.3
-CALL_EACH_S = 0.02
+MIN_SERVED_FRACTION = 0.95
+REPEAT_INTERVAL_S = 0.3
+CALL_INTERVAL_S = 0.02
 
 
 @dataclass
 class Callers:
-    """Send a fleet other requests, each its own, and count the answers."""
+    """Send a fleet distinct harmless requests and count the response statuses."""
 
     fleet: Fleet
     statuses: Counter[int] = field(default_factory=Counter)
     number: int = 0
 
     async def keep_calling(self) -> None:
-        """Send requests at an even pace."""
+        """Send requests at a constant rate."""
         async with asyncio.TaskGroup() as group:
             while True:
                 self.number += 1
                 group.create_task(self._call(self.number))
-                await asyncio.sleep(CALL_EACH_S)
+                await asyncio.sleep(CALL_INTERVAL_S)
 
     async def _call(self, number: int) -> None:
         gateway = number % len(self.fleet.gateways)
@@ -51,59 +51,59 @@
         self.statuses[status] += 1
 
     @property
-    def served(self) -> float:
-        """Return the part that was served."""
+    def served_fraction(self) -> float:
+        """Return the fraction of requests that were served."""
         return self.statuses[200] / self.statuses.total()
 
 
 @pytest.fixture
 async def fleet(tmp_path):
-    made = Fleet(tmp_path)
+    started = Fleet(tmp_path)
     try:
-        await made.start(GATEWAYS, TARGETS)
-        yield made
+        await started.start(GATEWAYS, TARGETS)
+        yield started
     finally:
-        await made.stop()
+        await started.stop()
 
 
-async def repeat(fleet: Fleet, path: str, method: str, for_s: float) -> Counter[int]:
-    """Send the same request at ever another gateway; count the answers."""
+async def repeat_request(
+    fleet: Fleet, path: str, method: str, for_s: float
+) -> Counter[int]:
+    """Send the same request to the gateways in turn; count the response statuses."""
     statuses: Counter[int] = Counter()
-    for number in range(round(for_s / AGAIN_S)):
+    for number in range(round(for_s / REPEAT_INTERVAL_S)):
         status, _, headers = await fleet.call(path, method, number % GATEWAYS)
         statuses[status] += 1
         if status == 503:
             assert float(headers["Retry-After"]) > 0.0
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(REPEAT_INTERVAL_S)
     return statuses
 
 
-def retries(fleet: Fleet) -> int:
-    """Return how many sendings came after the fleet had to know the request."""
+def attempts_after_detection(fleet: Fleet) -> int:
+    """Return the number of attempts after the fleet had to detect the request."""
     times = sorted(crash.at_s for t in fleet.targets for crash in t.crashes)
-    if len(times) < CRASHES_FREE:
+    if len(times) < CRASHES_BEFORE_DETECTION:
         return 0
-    known_s = times[CRASHES_FREE - 1] + KNOWN_WITHIN_S
-    return sum(at_s > known_s for at_s in times)
+    detected_s = times[CRASHES_BEFORE_DETECTION - 1] + DETECTION_S
+    return sum(at_s > detected_s for at_s in times)
 
 
 @pytest.mark.parametrize(("prefix", "method"), [("pages", "GET"), ("orders", "POST")])
-async def test_a_request_that_crashes_its_targets_is_not_sent_for_ever(
-    fleet, prefix, method
-):
-    """Guards against a repeated request that ends one target after the other."""
+async def test_a_request_that_crashes_its_targets_is_quarantined(fleet, prefix, method):
+    """Guards against a repeated request that crashes one target after the other."""
     callers = Callers(fleet)
     calling = asyncio.create_task(callers.keep_calling())
-    await repeat(fleet, f"/{prefix}/{CRASHING}", method, for_s=10.0)
+    await repeat_request(fleet, f"/{prefix}/{CRASHING}", method, for_s=10.0)
     calling.cancel()
-    assert retries(fleet) <= RETRIES_MOST
-    assert callers.served >= SERVED_LEAST
+    assert attempts_after_detection(fleet) <= MAX_RETRIES
+    assert callers.served_fraction >= MIN_SERVED_FRACTION
 
 
-async def test_a_fleet_that_was_killed_still_knows_the_request(fleet):
-    """Guards against what only processes knew, and forgot with the whole fleet."""
+async def test_the_quarantine_survives_a_kill_of_the_whole_fleet(fleet):
+    """Guards against crash records held only in memory and lost with all processes."""
     path = f"/pages/{CRASHING}"
-    await repeat(fleet, path, "GET", for_s=4.0)
+    await repeat_request(fleet, path, "GET", for_s=4.0)
     for gateway in fleet.gateways:
         assert gateway.process is not None
         gateway.process.kill()
@@ -111,13 +111,13 @@
     for gateway in fleet.gateways:
         await fleet.run(gateway)
     await fleet.until_ready()
-    await repeat(fleet, path, "GET", for_s=5.0)
-    assert retries(fleet) <= RETRIES_MOST
+    await repeat_request(fleet, path, "GET", for_s=5.0)
+    assert attempts_after_detection(fleet) <= MAX_RETRIES
 
 
 async def test_an_operator_lists_held_requests_and_frees_one(fleet):
     path = f"/pages/{CRASHING}"
-    await repeat(fleet, path, "GET", for_s=2.0)
+    await repeat_request(fleet, path, "GET", for_s=2.0)
     settings = str(fleet.gateways[0].settings)
     async with open_platform(settings) as platform:
         async with asyncio.timeout(3.0):
--- a/tests/gateway/test_limited_targets.py
+++ b/tests/gateway/test_limited_targets.py
@@ -1,4 +1,4 @@
-"""Send a fleet more than some of its targets say that they take."""
+"""Send a fleet more requests than the rate limits of some targets allow."""
 
 import asyncio
 from bisect import bisect_left
@@ -10,34 +10,34 @@
 
 GATEWAYS = 4
 CALLS_PER_S = 40.0
-LIMITED = 2
+LIMITED_TARGETS = 2
 LIMIT_PER_S = 1.0
-TOLD_S = 3.0
-"""From then on after its first limit, a target gets no more than it allows."""
+ENFORCED_AFTER_S = 3.0
+"""Time from a target's first reported limit after which the limit must hold."""
 
 WINDOW_S = 4.0
-MOST = 1.5 * LIMIT_PER_S * WINDOW_S + 5.0
-SERVED_LEAST = 0.98
+MAX_REQUESTS = 1.5 * LIMIT_PER_S * WINDOW_S + 5.0
+MIN_SERVED_FRACTION = 0.98
 
 
 @pytest.fixture
 async def fleet(tmp_path):
-    made = Fleet(tmp_path)
+    started = Fleet(tmp_path)
     try:
-        await made.start(GATEWAYS, targets=4)
-        yield made
+        await started.start(GATEWAYS, targets=4)
+        yield started
     finally:
-        await made.stop()
+        await started.stop()
 
 
 async def call_for(fleet: Fleet, for_s: float) -> Counter[int]:
-    """Send requests through all gateways that run; count the answers."""
+    """Send requests through all running gateways; count the response statuses."""
     statuses: Counter[int] = Counter()
 
     async def call(number: int) -> None:
         running = [
-            place
-            for place, gateway in enumerate(fleet.gateways)
+            index
+            for index, gateway in enumerate(fleet.gateways)
             if gateway.process is not None and gateway.process.returncode is None
         ]
         gateway = running[number % len(running)]
@@ -50,34 +50,34 @@
     return statuses
 
 
-def limit(fleet: Fleet, text: str | None) -> None:
-    """Let some targets name a limit, or none."""
-    for target in fleet.targets[:LIMITED]:
+def set_limit(fleet: Fleet, text: str | None) -> None:
+    """Let the limited targets report a limit, or none."""
+    for target in fleet.targets[:LIMITED_TARGETS]:
         target.limit = text
 
 
-def most_in_a_window(fleet: Fleet, from_s: float) -> int:
-    """Return the most that a limited target got in a window that begins later."""
-    most = 0
-    for target in fleet.targets[:LIMITED]:
+def max_in_a_window(fleet: Fleet, from_s: float) -> int:
+    """Return a limited target's maximum of requests in a window that begins later."""
+    maximum = 0
+    for target in fleet.targets[:LIMITED_TARGETS]:
         times = target.arrived_s
-        for place in range(bisect_left(times, from_s), len(times)):
-            most = max(most, bisect_left(times, times[place] + WINDOW_S) - place)
-    return most
+        for index in range(bisect_left(times, from_s), len(times)):
+            maximum = max(maximum, bisect_left(times, times[index] + WINDOW_S) - index)
+    return maximum
 
 
-async def test_targets_get_no_more_than_they_say_that_they_take(fleet):
-    """Guards against a limit that nobody reads, or each host for itself."""
-    limit(fleet, str(LIMIT_PER_S))
+async def test_targets_get_no_more_than_their_reported_limit(fleet):
+    """Guards against a limit that is ignored, or applied by each host separately."""
+    set_limit(fleet, str(LIMIT_PER_S))
     began_s = asyncio.get_running_loop().time()
     statuses = await call_for(fleet, for_s=12.0)
-    assert most_in_a_window(fleet, began_s + TOLD_S) <= MOST
-    assert statuses[200] >= SERVED_LEAST * statuses.total()
+    assert max_in_a_window(fleet, began_s + ENFORCED_AFTER_S) <= MAX_REQUESTS
+    assert statuses[200] >= MIN_SERVED_FRACTION * statuses.total()
 
 
-async def test_a_limit_outlives_the_host_that_kept_it(fleet):
-    """Guards against a placer that takes over and starts from nothing."""
-    limit(fleet, str(LIMIT_PER_S))
+async def test_a_limit_survives_the_loss_of_its_placer(fleet):
+    """Guards against a successor placer that starts without the known limits."""
+    set_limit(fleet, str(LIMIT_PER_S))
     began_s = asyncio.get_running_loop().time()
     await call_for(fleet, for_s=5.0)
     placer = next(
@@ -89,16 +89,18 @@
     placer.process.kill()
     await placer.process.wait()
     await call_for(fleet, for_s=7.0)
-    assert most_in_a_window(fleet, began_s + TOLD_S) <= MOST
+    assert max_in_a_window(fleet, began_s + ENFORCED_AFTER_S) <= MAX_REQUESTS
 
 
-async def test_a_target_that_names_no_limit_any_more_gets_its_part_again(fleet):
-    """Guards against a limit that holds for ever."""
-    limit(fleet, str(LIMIT_PER_S))
+async def test_a_target_that_reports_no_limit_any_more_gets_full_load_again(fleet):
+    """Guards against a limit that never expires."""
+    set_limit(fleet, str(LIMIT_PER_S))
     await call_for(fleet, for_s=4.0)
-    limit(fleet, None)
+    set_limit(fleet, None)
     await call_for(fleet, for_s=5.0)
     counts = [len(target.arrived_s) for target in fleet.targets]
     await call_for(fleet, for_s=4.0)
-    got = [len(t.arrived_s) - n for t, n in zip(fleet.targets, counts, strict=True)]
-    assert min(got) > LIMIT_PER_S * 4.0 + 5.0
+    received = [
+        len(t.arrived_s) - n for t, n in zip(fleet.targets, counts, strict=True)
+    ]
+    assert min(received) > LIMIT_PER_S * 4.0 + 5.0
--- a/tests/gateway/test_waiting_requests.py
+++ b/tests/gateway/test_waiting_requests.py
@@ -1,4 +1,4 @@
-"""Send requests behind others on one connection, and before the node knows anything."""
+"""Tests of pipelined requests on one connection."""
 
 import asyncio
 import signal
@@ -8,33 +8,35 @@
 from crocusspindle_standins.on_platform.fleet import KEY, Fleet
 from crocusspindle_standins.on_platform.target import Trouble
 
-WORK_S = 0.3
-BEHIND = 4
+SERVICE_TIME_S = 0.3
+PIPELINED = 4
 
 
 @pytest.fixture
 async def fleet(tmp_path):
-    made = Fleet(tmp_path)
+    started = Fleet(tmp_path)
     try:
-        await made.start()
-        yield made
+        await started.start()
+        yield started
     finally:
-        await made.stop()
+        await started.stop()
 
 
-def page(
-    number: int, method: str = "GET", path: str = "/pages/", more: str = ""
+def request_bytes(
+    number: int, method: str = "GET", path: str = "/pages/", extra_headers: str = ""
 ) -> bytes:
-    length = more if method == "GET" else "Content-Length: 0\r\n"
+    headers = extra_headers if method == "GET" else "Content-Length: 0\r\n"
     return (
-        f"{method} {path}{number} HTTP/1.1\r\nHost: hall.example\r\n{length}"
+        f"{method} {path}{number} HTTP/1.1\r\nHost: hall.example\r\n{headers}"
         f"X-Request-Id: q{number}\r\nX-Api-Key: {KEY}\r\n"
         "X-Deadline-Milliseconds: 3000\r\n\r\n"
     ).encode()
 
 
-async def answers(reader: asyncio.StreamReader, count: int) -> list[tuple[int, str]]:
-    """Return status and request id of so many answers, in their order."""
+async def read_responses(
+    reader: asyncio.StreamReader, count: int
+) -> list[tuple[int, str]]:
+    """Return status and request id of ``count`` responses, in their order."""
     found = []
     for _ in range(count):
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -53,58 +55,62 @@
     return await asyncio.open_connection(gateway.ip, gateway.ports[0])
 
 
-async def test_look_ups_behind_others_are_made_side_by_side_and_answered_in_order(
+async def test_pipelined_gets_run_concurrently_and_are_answered_in_order(
     fleet,
 ):
-    """A caller sends four look-ups at once, of which each takes 0.3 s.
+    """A caller sends four GETs at once, each of which takes 0.3 s.
 
-    Made one after the other, the last would be late before it began.
+    Run one after the other, the last would miss its deadline before it started.
     """
     for target in fleet.targets:
-        target.work_s = WORK_S
+        target.work_s = SERVICE_TIME_S
     reader, writer = await connect(fleet)
     began = asyncio.get_running_loop().time()
-    writer.write(b"".join(page(number) for number in range(BEHIND)))
+    writer.write(b"".join(request_bytes(number) for number in range(PIPELINED)))
     async with asyncio.timeout(3):
-        found = await answers(reader, BEHIND)
+        found = await read_responses(reader, PIPELINED)
     took_s = asyncio.get_running_loop().time() - began
-    assert found == [(200, f"q{number}") for number in range(BEHIND)]
-    assert took_s < 2.5 * WORK_S
+    assert found == [(200, f"q{number}") for number in range(PIPELINED)]
+    assert took_s < 2.5 * SERVICE_TIME_S
     writer.close()
 
 
-async def test_a_look_up_behind_one_that_hangs_is_not_held_up_with_it(fleet):
-    """The first look-up meets a target that hangs; the second was sent with it."""
+async def test_a_get_behind_a_hanging_one_is_not_delayed(fleet):
+    """The first GET meets a target that hangs; the second is sent at the same time."""
     fleet.targets[0].trouble = Trouble.HANGS
     reader, writer = await connect(fleet)
     for round_number in range(3):
-        writer.write(page(2 * round_number) + page(2 * round_number + 1))
+        writer.write(
+            request_bytes(2 * round_number) + request_bytes(2 * round_number + 1)
+        )
         async with asyncio.timeout(3):
-            found = await answers(reader, 2)
+            found = await read_responses(reader, 2)
         assert [status for status, _ in found] == [200, 200]
     writer.close()
 
 
-async def test_orders_behind_others_wait_for_their_turn(fleet):
-    """A caller sends two orders at once and leaves before the first is answered.
+async def test_pipelined_posts_wait_for_their_turn(fleet):
+    """A caller sends two POSTs at once and leaves before the first is answered.
 
-    Begun ahead, the second would run though the caller takes it for unread.
+    Started early, the second would run although the caller takes it for unread.
     """
     for target in fleet.targets:
-        target.work_s = WORK_S
+        target.work_s = SERVICE_TIME_S
     _, writer = await connect(fleet)
-    writer.write(page(1, "POST", "/orders/") + page(2, "POST", "/orders/"))
-    await asyncio.sleep(WORK_S / 2)
+    writer.write(
+        request_bytes(1, "POST", "/orders/") + request_bytes(2, "POST", "/orders/")
+    )
+    await asyncio.sleep(SERVICE_TIME_S / 2)
     writer.close()
-    await asyncio.sleep(2 * WORK_S)
+    await asyncio.sleep(2 * SERVICE_TIME_S)
     assert (fleet.ran("q1"), fleet.ran("q2")) == (1, 0)
 
 
-async def test_a_caller_that_leaves_ends_what_was_begun_for_it(fleet):
+async def test_requests_started_early_are_cancelled_when_the_caller_leaves(fleet):
     for target in fleet.targets:
         target.work_s = 2.0
     _, writer = await connect(fleet)
-    writer.write(b"".join(page(number) for number in range(3)))
+    writer.write(b"".join(request_bytes(number) for number in range(3)))
     await asyncio.sleep(0.2)
     writer.close()
     await asyncio.sleep(0.3)
@@ -112,32 +118,34 @@
     assert [line["outcome"] for line in lines] == ["caller left"] * 3
 
 
-async def test_a_planned_stop_answers_what_was_begun_ahead(fleet):
-    """A gateway gets SIGTERM while targets work on three look-ups of one connection.
+async def test_a_planned_stop_answers_requests_started_early(fleet):
+    """A gateway gets SIGTERM while targets work on three GETs of one connection.
 
-    Closed after the first answer, the others would be cut though they were passed on.
+    Closed after the first response, the others would be lost though already forwarded.
     """
     for target in fleet.targets:
-        target.work_s = WORK_S
+        target.work_s = SERVICE_TIME_S
     reader, writer = await connect(fleet)
-    writer.write(b"".join(page(number) for number in range(3)))
-    await asyncio.sleep(WORK_S / 2)
+    writer.write(b"".join(request_bytes(number) for number in range(3)))
+    await asyncio.sleep(SERVICE_TIME_S / 2)
     fleet.gateways[0].process.send_signal(signal.SIGTERM)
     async with asyncio.timeout(3):
-        found = await answers(reader, 3)
+        found = await read_responses(reader, 3)
     assert found == [(200, f"q{number}") for number in range(3)]
     writer.close()
 
 
-async def test_nothing_runs_behind_a_request_that_ends_its_connection(fleet):
-    """A caller asks for the end of its connection and sends on in the same breath.
+async def test_nothing_runs_behind_a_request_with_connection_close(fleet):
+    """A caller sends "Connection: close" and another request in the same write.
 
-    What follows can never be answered there, and the whole is no proper request.
+    The second can never be answered there, and the whole input is malformed.
     """
     for target in fleet.targets:
-        target.work_s = WORK_S
+        target.work_s = SERVICE_TIME_S
     reader, writer = await connect(fleet)
-    writer.write(page(1, more="Connection: close\r\n") + page(2))
+    writer.write(
+        request_bytes(1, extra_headers="Connection: close\r\n") + request_bytes(2)
+    )
     async with asyncio.timeout(3):
         assert b" 400 " in await reader.read()
     assert (fleet.ran("q1"), fleet.ran("q2")) == (0, 0)
--- a/tests/gateway/test_whole_path.py
+++ b/tests/gateway/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Run the gateways as processes before a stand-in of the platform."""
+"""End-to-end tests of gateway processes with a stand-in of the platform."""
 
 import asyncio
 import signal
@@ -13,15 +13,15 @@
 
 @pytest.fixture
 async def fleet(tmp_path):
-    made = Fleet(tmp_path)
+    started = Fleet(tmp_path)
     try:
-        await made.start()
-        yield made
+        await started.start()
+        yield started
     finally:
-        await made.stop()
+        await started.stop()
 
 
-async def test_a_request_goes_to_a_target_and_its_answer_comes_back(fleet):
+async def test_a_request_is_forwarded_and_its_response_returned(fleet):
     status, body, headers = await fleet.call("/pages/oak?size=2")
     assert (status, body) == (200, b"answer to /pages/oak?size=2 ")
     assert headers["X-Request-Id"] == "r1" and "X-Server-Stamp" in headers
@@ -31,25 +31,25 @@
 
 
 @pytest.mark.parametrize("size", [0, 10, 400_000, 2_500_000])
-async def test_bodies_of_any_length_arrive_whole(fleet, size):
+async def test_bodies_of_any_length_arrive_complete(fleet, size):
     status, body, _ = await fleet.call("/orders/1", "POST", data=b"x" * size)
     assert status == 200
     assert len(body) == len(b"answer to /orders/1 ") + size
 
 
-async def test_a_body_in_chunks_arrives_whole(fleet):
-    async def parts():
+async def test_a_chunked_body_arrives_complete(fleet):
+    async def chunks():
         for _ in range(30):
             yield b"y" * 1_000
 
-    status, body, _ = await fleet.call("/orders/1", "POST", data=parts())
+    status, body, _ = await fleet.call("/orders/1", "POST", data=chunks())
     assert status == 200 and body.endswith(b"y" * 30_000)
 
 
-async def test_a_caller_that_waits_for_leave_to_send_its_body_gets_it(fleet):
-    """A caller of a long upload first asks whether its body is wanted.
+async def test_expect_100_continue_is_answered(fleet):
+    """A caller of a long upload first sends "Expect: 100-continue".
 
-    Without an answer it waits out its own patience before it sends.
+    Without "100 Continue" it waits for its own timeout before it sends the body.
     """
     gateway = fleet.gateways[0]
     reader, writer = await asyncio.open_connection(gateway.ip, gateway.ports[0])
@@ -76,45 +76,45 @@
         "nonsense\r\n\r\n",
     ],
 )
-async def test_what_is_no_proper_request_is_refused_and_its_connection_ends(
+async def test_a_malformed_request_is_refused_and_its_connection_closed(
     fleet, request_text
 ):
-    """Someone sends two lengths, or a second request hidden in a first.
+    """A caller sends two lengths, or a second request smuggled in a first.
 
-    Read in two ways, the hidden one would run under the first one's key.
+    Parsed differently by two hops, the second would run under the first one's key.
     """
     gateway = fleet.gateways[0]
     reader, writer = await asyncio.open_connection(gateway.ip, gateway.ports[0])
     writer.write(request_text.encode())
     async with asyncio.timeout(3):
-        answer = await reader.read()
-    assert answer.partition(b" ")[2].startswith(b"400 ")
+        response = await reader.read()
+    assert response.partition(b" ")[2].startswith(b"400 ")
     writer.close()
 
 
-async def test_refusals_say_what_is_wrong(fleet):
+async def test_refusals_have_the_status_of_their_cause(fleet):
     assert (await fleet.call("/nowhere/"))[0] == 404
     assert (await fleet.call("/pages/", key="unknown"))[0] == 401
-    long = await fleet.call("/orders/1", "POST", data=b"x" * 3_000_001)
-    assert long[0] == 413
+    too_long = await fleet.call("/orders/1", "POST", data=b"x" * 3_000_001)
+    assert too_long[0] == 413
 
 
-async def test_a_page_that_meets_a_gray_target_is_asked_elsewhere(fleet):
-    """One of four targets breaks the connections of all its work.
+async def test_a_get_that_meets_a_gray_target_is_retried_elsewhere(fleet):
+    """One of four targets breaks the connections of all its requests.
 
-    Its own callers would lose a quarter of their pages.
+    Without retries callers would lose a quarter of their GETs.
     """
     fleet.targets[0].trouble = Trouble.RESETS
-    answers = [await fleet.call("/pages/oak") for _ in range(40)]
-    assert {status for status, _, _ in answers} == {200}
+    responses = [await fleet.call("/pages/oak") for _ in range(40)]
+    assert {status for status, _, _ in responses} == {200}
     assert fleet.targets[0].ran.total() <= 3
 
 
 @pytest.mark.parametrize("trouble", [Trouble.RESETS, Trouble.CUTS, Trouble.CROSSES])
-async def test_an_order_runs_once_whatever_its_target_does(fleet, trouble):
-    """A target runs orders and breaks their answers.
+async def test_a_post_runs_once_whatever_its_target_does(fleet, trouble):
+    """A target runs POSTs and breaks their responses.
 
-    Sent again, the order would run twice; called not run, its caller would repeat it.
+    Retried, the POST would run twice; reported as not run, its caller would repeat it.
     """
     for target in fleet.targets:
         target.trouble = trouble
@@ -126,10 +126,10 @@
         assert (status == 503) == ("Retry-After" in headers)
 
 
-async def test_an_answer_without_a_length_is_passed_on_only_if_it_ended(fleet):
-    """Targets answer without a length, and one kind is reset before its end.
+async def test_a_response_without_a_length_is_forwarded_only_if_complete(fleet):
+    """Targets respond without a length, and one kind is reset before its end.
 
-    Both end with their connection. A caller that gets the part takes it for all.
+    Both end with their connection. A caller would take the truncated one as complete.
     """
     for target in fleet.targets:
         target.trouble = Trouble.UNFRAMED
@@ -142,25 +142,25 @@
         assert status in (502, 503) and b"part" not in body
 
 
-async def test_an_order_that_was_shed_is_sent_to_another_target(fleet):
+async def test_a_shed_post_is_sent_to_another_target(fleet):
     fleet.targets[0].trouble = Trouble.SHEDS
     fleet.targets[1].trouble = Trouble.SHEDS
-    answers = [
+    responses = [
         await fleet.call("/orders/1", "POST", data=b"pay", gateway=n % 3)
         for n in range(12)
     ]
-    assert {status for status, _, _ in answers} == {200}
+    assert {status for status, _, _ in responses} == {200}
 
 
-async def test_a_hung_target_costs_a_page_a_second_try_and_an_order_its_time(fleet):
-    """A target takes work and never answers."""
+async def test_gets_that_meet_a_hung_target_are_hedged(fleet):
+    """A target accepts requests and never answers."""
     fleet.targets[0].trouble = Trouble.HANGS
     pages = await asyncio.gather(*(fleet.call("/pages/oak") for _ in range(4)))
     assert [status for status, _, _ in pages] == [200] * 4
 
 
-async def test_a_withdrawn_key_stops_at_every_gateway(fleet):
-    """The operator takes the key of a customer that goes on asking."""
+async def test_a_withdrawn_key_is_refused_at_every_gateway(fleet):
+    """The operator withdraws the key of a customer that keeps sending requests."""
     document = configuration(2)
     document["tenants"]["club"]["api_keys"] = ["another"]
     await fleet.configure(document)
@@ -170,10 +170,10 @@
         assert (await fleet.call("/pages/", gateway=gateway, key="another"))[0] == 200
 
 
-async def test_a_key_is_refused_once_nobody_can_prove_it(fleet):
-    """The store falls silent, and a key might be withdrawn meanwhile.
+async def test_a_key_is_refused_once_its_confirmation_is_too_old(fleet):
+    """The store stops responding, and a key might be withdrawn meanwhile.
 
-    Until five seconds after the last proof it is served, then refused as not run.
+    It is served for five seconds after the last confirmation, then refused as not run.
     """
     fleet.store.mode = StoreMode.SILENT
     await asyncio.sleep(2.0)
@@ -187,8 +187,8 @@
             await asyncio.sleep(0.1)
 
 
-async def test_a_store_that_forgot_its_history_is_read_anew(fleet):
-    """The store drops its history between two reads, and a change lies in it."""
+async def test_a_store_that_lost_its_history_is_read_in_full(fleet):
+    """The store drops its history between two reads, with a change in it."""
     fleet.store.forget()
     document = configuration(2)
     document["routes"]["new"] = {**document["routes"]["pages"], "prefix": "/new/"}
@@ -199,10 +199,10 @@
             await asyncio.sleep(0.1)
 
 
-async def test_a_quota_holds_over_all_gateways_through_a_kill(fleet):
+async def test_a_quota_holds_over_all_gateways_when_one_is_killed(fleet):
     """One customer sends many times its rate while its keeper may be killed.
 
-    A new keeper that opened with a full burst would let it through at each kill.
+    A new keeper that started with a full burst would admit it again at each kill.
     """
     document = configuration(2)
     document["tenants"]["club"] |= {"per_s": 20, "burst": 10}
@@ -223,7 +223,7 @@
     assert 20 <= served <= (20 * 5 + 10) * 1.1 + 20
 
 
-async def test_a_planned_stop_cuts_no_request(fleet):
+async def test_a_planned_stop_aborts_no_request(fleet):
     """A gateway gets SIGTERM while callers use their open connections to it."""
     gateway = fleet.gateways[0]
     for target in fleet.targets:
@@ -241,10 +241,10 @@
         assert await gateway.process.wait() == 0
 
 
-async def test_settings_are_read_again_and_a_bad_file_changes_nothing(fleet):
-    """The settings' file changes, and once it is half written.
+async def test_settings_are_reloaded_and_an_invalid_file_is_ignored(fleet):
+    """The settings file is changed, once to a half-written one.
 
-    SIGHUP ends a process that does not listen for it, with all it was serving.
+    An unhandled SIGHUP would end the process and all requests that it serves.
     """
     gateway = fleet.gateways[0]
     good = gateway.settings.read_text()
@@ -258,8 +258,8 @@
     assert lines[1]["message"] == "settings refused"
 
 
-async def test_a_caller_that_leaves_ends_its_request_at_the_target(fleet):
-    """A caller hangs up while its page is being made."""
+async def test_a_request_is_abandoned_when_its_caller_leaves(fleet):
+    """A caller closes its connection while a target works on its request."""
     for target in fleet.targets:
         target.work_s = 1.0
     with pytest.raises(asyncio.TimeoutError):
@@ -270,7 +270,7 @@
     assert lines[-1]["sends"][0]["ending"] == "abandoned"
 
 
-async def test_the_log_tells_a_requests_story_and_no_key(fleet):
+async def test_the_log_lists_a_requests_attempts_and_no_key(fleet):
     fleet.targets[0].trouble = Trouble.ERRORS
     for _ in range(8):
         await fleet.call("/orders/1", "POST", data=b"pay")
@@ -282,10 +282,10 @@
     assert KEY not in fleet.gateways[0].log()
 
 
-async def test_a_refusal_for_the_rate_names_the_customer_and_its_keeper(fleet):
-    """A customer complains that it was refused within its rate.
+async def test_a_rate_refusal_logs_the_customer_and_its_keeper(fleet):
+    """A customer reports that it was refused within its rate.
 
-    Whoever looks into it needs to know who decided, and on which view.
+    An operator needs to know which keeper decided, and on which view.
     """
     document = configuration(2)
     document["tenants"]["club"] |= {"per_s": 1, "burst": 1}
@@ -299,7 +299,7 @@
     assert line["view"] > 0 and line["retry_after_ms"] > 0
 
 
-async def test_metrics_count_what_callers_got(fleet):
+async def test_metrics_count_responses_and_refusals(fleet):
     for _ in range(3):
         await fleet.call("/pages/oak")
     await fleet.call("/nowhere/")
@@ -312,8 +312,8 @@
     assert "crocusspindle_log_dropped 0.0" in text
 
 
-async def test_few_calls_reach_the_store(fleet):
-    """Each gateway could read the store for itself; one reads for all."""
+async def test_one_gateway_reads_the_store_for_all(fleet):
+    """Guards against each gateway reading the store itself."""
     before = fleet.store.calls
     await asyncio.sleep(4.0)
     assert fleet.store.calls - before <= 4 * 9
