--- a/src/crocusspindle/gateway/admission.py
+++ b/src/crocusspindle/gateway/admission.py
@@ -10,12 +10,12 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.core.configuration import Configuration, CustomerRule, RouteRule
 from crocusspindle.core.request_content import content_digest
-from crocusspindle.gateway.answers import Refusal
-from crocusspindle.gateway.case import BODY_BUFFER_BYTES, RequestContext
 from crocusspindle.gateway.dialect import Dialect
 from crocusspindle.gateway.knowledge import Knowledge
 from crocusspindle.gateway.reload import LiveBounds
-from crocusspindle.gateway.sender import OutgoingRequest
+from crocusspindle.gateway.request_context import BODY_BUFFER_BYTES, RequestContext
+from crocusspindle.gateway.responses import Refusal
+from crocusspindle.gateway.target_client import OutgoingRequest
 from crocusspindle.services.targets import forwarded
 
 CONFIRMATION_MARGIN_MS: Final = 200.0
--- a/src/crocusspindle/gateway/assembly.py
+++ b/src/crocusspindle/gateway/assembly.py
@@ -11,6 +11,7 @@
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.errors import Finding, SettingsError
 from crocusspindle.gateway.admission import Admission
+from crocusspindle.gateway.attempt_runner import AttemptRunner
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.dialect import Dialect
 from crocusspindle.gateway.entry import Entry
@@ -24,7 +25,6 @@
 from crocusspindle.gateway.quota import Quota
 from crocusspindle.gateway.reading import Reading
 from crocusspindle.gateway.reload import LiveBounds, Reload
-from crocusspindle.gateway.sending import Sending
 from crocusspindle.gateway.settings import GatewaySettings
 from crocusspindle.ids import Incarnation
 from crocusspindle.kernel import Kernel
@@ -85,7 +85,7 @@
     placers = Placers(node, bounds, exchange, knowledge, policies, crashes)
     placing = Placing(exchange, placers, rng, crashes)
     admission = Admission(bounds, dialect, knowledge)
-    attempt_runner = Sending(node, dialect, placing, metrics, rng)
+    attempt_runner = AttemptRunner(node, dialect, placing, metrics, rng)
     entry = Entry(
         admission, dialect, knowledge, attempt_runner, quota, crashes, metrics
     )
--- a/src/crocusspindle/gateway/sending.py
+++ b/src/crocusspindle/gateway/attempt_runner.py
@@ -10,11 +10,11 @@
 from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.gateway import instruments
-from crocusspindle.gateway.answers import Refusal
-from crocusspindle.gateway.case import RequestContext
 from crocusspindle.gateway.dialect import Dialect
-from crocusspindle.gateway.placing import Place, Placing
-from crocusspindle.gateway.sender import AttemptResult, TargetClient
+from crocusspindle.gateway.placing import Placement, Placing
+from crocusspindle.gateway.request_context import RequestContext
+from crocusspindle.gateway.responses import Refusal
+from crocusspindle.gateway.target_client import AttemptResult, TargetClient
 from crocusspindle.ids import ServiceId
 from crocusspindle.metrics import Metrics
 
@@ -27,7 +27,7 @@
 was not run. If half of the targets refuse, one request in sixteen meets four."""
 
 
-class Sending:
+class AttemptRunner:
     """Place and send requests; retry and hedge those that may run more than once."""
 
     def __init__(
@@ -75,7 +75,7 @@
         retry: bool,
         last_result: AttemptResult | None,
         hedge: bool = False,
-    ) -> Place | AttemptResult:
+    ) -> Placement | AttemptResult:
         placement_request = PlacementRequest(
             sender=self._node.host,
             domain=self._node.domain,
@@ -91,7 +91,7 @@
             excluded=frozenset(context.tried_targets),
         )
         placement = await self._placing.place(service, placement_request)
-        if isinstance(placement, Place):
+        if isinstance(placement, Placement):
             return placement
         if last_result is not None and last_result.outcome.may_have_run:
             return last_result
@@ -112,7 +112,7 @@
         )
 
     async def _attempt_with_hedge(
-        self, context: RequestContext, placement: Place, service: ServiceId
+        self, context: RequestContext, placement: Placement, service: ServiceId
     ) -> AttemptResult:
         """Send; hedge to a second target if an idempotent request stays unanswered."""
         first = asyncio.create_task(self._attempt(context, placement))
@@ -158,7 +158,7 @@
         return asyncio.create_task(self._attempt(context, placement))
 
     async def _attempt(
-        self, context: RequestContext, placement: Place
+        self, context: RequestContext, placement: Placement
     ) -> AttemptResult:
         began_ms = now_ms()
         context.tried_targets.add(placement.target.identity)
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -99,7 +99,7 @@
         shared = [packed_record(record) for record in records if record.is_shared]
         unshared = [packed_record(record) for record in records if not record.is_shared]
         if unshared:
-            ranks.tell_others(service, CrashNote(unshared))
+            ranks.notify_others(service, CrashNote(unshared))
         if shared:
             self._knowledge.refresh_crash_encoding()
             self.spawn(self._publish_to_all(CrashNote(shared)))
--- a/src/crocusspindle/gateway/entry.py
+++ b/src/crocusspindle/gateway/entry.py
@@ -13,18 +13,18 @@
 from crocusspindle.core.versioned_state import VersionedState
 from crocusspindle.gateway import instruments
 from crocusspindle.gateway.admission import Admission
-from crocusspindle.gateway.answers import (
-    Refusal,
-    refusal_response,
-    send_target_response,
-)
-from crocusspindle.gateway.case import RequestContext
+from crocusspindle.gateway.attempt_runner import AttemptRunner
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.dialect import Dialect
 from crocusspindle.gateway.knowledge import NEVER_MS, Knowledge
 from crocusspindle.gateway.quota import NO_KEEPER_RETRY_MS, Quota
-from crocusspindle.gateway.sender import AttemptResult
-from crocusspindle.gateway.sending import Sending
+from crocusspindle.gateway.request_context import RequestContext
+from crocusspindle.gateway.responses import (
+    Refusal,
+    refusal_response,
+    send_target_response,
+)
+from crocusspindle.gateway.target_client import AttemptResult
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger
 from crocusspindle.metrics import Metrics
@@ -60,7 +60,7 @@
         admission: Admission,
         dialect: Dialect,
         knowledge: Knowledge,
-        attempt_runner: Sending,
+        attempt_runner: AttemptRunner,
         quota: Quota,
         crashes: CrashSharing,
         metrics: Metrics,
--- a/src/crocusspindle/gateway/placer_ranks.py
+++ b/src/crocusspindle/gateway/placer_ranks.py
@@ -57,7 +57,7 @@
         host = self._node.host
         return ranked.index(host) if host in ranked else len(ranked)
 
-    def told_since_ms(self, service: ServiceId) -> float:
+    def notified_since_ms(self, service: ServiceId) -> float:
         """Return since when the placers of a service have notified this node."""
         since_ms = now_ms()
         for from_ms, view in reversed(self._views):
@@ -66,7 +66,7 @@
             since_ms = from_ms
         return since_ms
 
-    def tell_others(self, service: ServiceId, note: Any) -> None:
+    def notify_others(self, service: ServiceId, note: Any) -> None:
         """Notify the service's other placer and successor members."""
         for host in self.ranked(service)[:MAX_PLACERS]:
             to = self.address(host)
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -85,9 +85,9 @@
         self._exchange.handle(EjectedNote, self._ejected_note)
         self._exchange.handle(RepeatsNote, self._repeats_note)
         self._exchange.handle(PacedNote, self._paced_note)
-        self._knowledge.listen(self._learn)
+        self._knowledge.listen(self._apply_fleet_state)
 
-    def _learn(self) -> None:
+    def _apply_fleet_state(self) -> None:
         state = self._knowledge
         if state.targets_digest != self._targets_digest:
             self._targets_digest = state.targets_digest
@@ -125,7 +125,7 @@
         """Wait a limited time for the first list of targets after the start."""
         await self._knowledge.first_targets()
         # Listeners are notified only when the other tables have been read as well.
-        self._learn()
+        self._apply_fleet_state()
 
     async def _repeats_note(self, note: RepeatsNote, sender: Address) -> None:
         self._retry_sharing.receive(note)
@@ -254,7 +254,7 @@
     def _publish_changes(self, service: ServiceId, placer: ServicePlacer) -> None:
         recent_limits = packed_limits(placer.recent_limits(), now_ms())
         if recent_limits:
-            self.ranks.tell_others(service, PacedNote(service, recent_limits))
+            self.ranks.notify_others(service, PacedNote(service, recent_limits))
         for change in placer.changes():
             ejected = change.standing is EjectionState.EJECTED
             left_ms = round(change.until_ms - now_ms())
@@ -274,7 +274,7 @@
     def _publish_ejection(
         self, service: ServiceId, target: TargetIdentity, left_ms: float
     ) -> None:
-        self.ranks.tell_others(service, EjectedNote(service, target, left_ms))
+        self.ranks.notify_others(service, EjectedNote(service, target, left_ms))
 
     async def _ejected_note(self, note: EjectedNote, sender: Address) -> None:
         until_ms = now_ms() + note.left_ms
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Placement:
     """Hold the target of an attempt, and the placer to notify of its outcome."""
 
     service: ServiceId
@@ -84,7 +84,7 @@
 
     async def place(
         self, service: ServiceId, placement_request: PlacementRequest
-    ) -> Place | PlacementRefused:
+    ) -> Placement | PlacementRefused:
         """Return a target for a request, from a placer or chosen locally."""
         await self._placers.wait_until_listed()
         contacted = 0
@@ -107,7 +107,7 @@
         service: ServiceId,
         placement_request: PlacementRequest,
         counted: bool,
-    ) -> Place | PlacementRefused | None:
+    ) -> Placement | PlacementRefused | None:
         to = self._placers.ranks.address(host)
         if to is None:
             return None
@@ -141,7 +141,7 @@
             # The placer's list of targets is newer or older than this node's.
             self._release_grant(reply, to)
             return None
-        return Place(
+        return Placement(
             service, target, reply.hedge_after_ms, GrantId(reply.grant), host, to
         )
 
@@ -155,7 +155,7 @@
 
     def _place_locally(
         self, service: ServiceId, placement_request: PlacementRequest
-    ) -> Place | PlacementRefused:
+    ) -> Placement | PlacementRefused:
         if placement_request.retry:
             return PlacementRefused("repeats", EJECTION_MS)
         if self._crashes.is_suspect(placement_request.content):
@@ -172,10 +172,10 @@
         if target is None:
             return PlacementRefused("no-target", 500.0)
         self._fallback.began(target.identity)
-        return Place(service, target, FALLBACK_HEDGE_MS)
+        return Placement(service, target, FALLBACK_HEDGE_MS)
 
     async def report_crash(
-        self, placement: Place, content: ContentDigest, latency_ms: float
+        self, placement: Placement, content: ContentDigest, latency_ms: float
     ) -> None:
         """Notify a placer of a target's crash before the request is retried."""
         note = EndedNote(
@@ -206,7 +206,7 @@
 
     def report_outcome(
         self,
-        placement: Place,
+        placement: Placement,
         content: ContentDigest,
         outcome: AttemptOutcome,
         latency_ms: float,
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -35,7 +35,7 @@
 
 MIN_ATTEMPTS: Final = 2
 
-SETTLING_MS: Final = 1_500.0
+STARTUP_PERIOD_MS: Final = 1_500.0
 """Time after its start in which a node waits for keepers that the view doesn't name:
 after the loss of a whole fleet, the view with the new processes takes 0.7 s."""
 
@@ -78,13 +78,13 @@
         """Register the message handlers."""
         self._exchange.handle(SpendAsk, self._spend_ask)
         self._exchange.handle(ReleaseAsk, self._release_ask)
-        self._knowledge.listen(self._learn)
+        self._knowledge.listen(self._apply_fleet_state)
 
     def expired_keys(self) -> set[ViewEntryKey]:
         """Return entries of previous members whose confirmations have expired."""
         return self._keeper.expired_keys(now_ms())
 
-    def _learn(self) -> None:
+    def _apply_fleet_state(self) -> None:
         view = self._knowledge.view
         if view.content is not None:
             self._keeper.set_view(view.content, view.confirmed_at_ms, now_ms())
@@ -163,7 +163,7 @@
         """
         if rule.rate_per_s <= 0:
             return Admitted(0.0)
-        startup_end_ms = self._knowledge.born_ms + SETTLING_MS
+        startup_end_ms = self._knowledge.born_ms + STARTUP_PERIOD_MS
         wait_until_ms = min(wait_until_ms, startup_end_ms)
         attempt = 0
         while attempt < MIN_ATTEMPTS or now_ms() < wait_until_ms:
--- a/src/crocusspindle/gateway/repeat_sharing.py
+++ b/src/crocusspindle/gateway/repeat_sharing.py
@@ -41,7 +41,7 @@
                 bounds.budget_ratio, bounds.budget_extra, bounds.budget_window_ms
             )
             budget.set_rank(self._ranks.own_rank(service), now_ms())
-            budget.set_known_since(self._ranks.told_since_ms(service))
+            budget.set_known_since(self._ranks.notified_since_ms(service))
             self._budgets[service] = budget
         return budget
 
@@ -64,7 +64,7 @@
             for counted_record in budget.records(self._own, at_ms)
         ]
         known_ms = round(budget.known_ms(at_ms))
-        self._ranks.tell_others(service, RepeatsNote(service, known_ms, records))
+        self._ranks.notify_others(service, RepeatsNote(service, known_ms, records))
 
     def receive(self, note: RepeatsNote) -> None:
         """Merge the counts of another placer."""
--- a/src/crocusspindle/gateway/case.py
+++ b/src/crocusspindle/gateway/request_context.py
@@ -5,7 +5,7 @@
 
 from crocusspindle.core.configuration import CustomerRule, RouteRule
 from crocusspindle.core.listed_target import TargetIdentity
-from crocusspindle.gateway.sender import OutgoingRequest
+from crocusspindle.gateway.target_client import OutgoingRequest
 from crocusspindle.ids import ContentDigest
 
 BODY_BUFFER_BYTES: Final = 1 << 20
--- a/src/crocusspindle/gateway/answers.py
+++ b/src/crocusspindle/gateway/responses.py
@@ -9,7 +9,7 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.errors import CrocusspindleError
 from crocusspindle.gateway.dialect import Dialect
-from crocusspindle.gateway.sender import READ_BYTES, TargetResponse
+from crocusspindle.gateway.target_client import READ_BYTES, TargetResponse
 
 RETRYABLE_STATUSES: Final = frozenset({429, 503})
 CLOSING_STATUSES: Final = frozenset({400, 408, 413})
--- a/tests/gateway/test_just_started.py
+++ b/tests/gateway/test_just_started.py
@@ -17,8 +17,8 @@
 from crocusspindle.gateway.knowledge import FIRST_READ_MS, Knowledge
 from crocusspindle.gateway.messages import NotMineAnswer, PlaceAsk, SpendAnswer
 from crocusspindle.gateway.placers import Placers
-from crocusspindle.gateway.placing import Place, Placing
-from crocusspindle.gateway.quota import SETTLING_MS, Quota
+from crocusspindle.gateway.placing import Placement, Placing
+from crocusspindle.gateway.quota import STARTUP_PERIOD_MS, Quota
 from crocusspindle.gateway.reload import LiveBounds
 from crocusspindle.gateway.settings import Bounds
 from crocusspindle.ids import CustomerId, DomainId, ServiceId
@@ -52,7 +52,7 @@
     placers = Placers(node, bounds, exchange, knowledge, ALL_POLICIES, crashes)
     placing = Placing(exchange, placers, rng, crashes)
     exchange.handle(PlaceAsk, placers._place_ask)
-    knowledge.listen(placers._learn)
+    knowledge.listen(placers._apply_fleet_state)
     knowledge.take_view(View(1, (view_entry(0),)), now_ms())
     knowledge.tell()
     return placing
@@ -134,7 +134,7 @@
     """A quota keeper lost power, and its successor has to wait for seconds."""
     keeper_exchange = KeeperExchange(opens_after=1_000)
     began_ms = now_ms()
-    old_ms = now_ms() - SETTLING_MS
+    old_ms = now_ms() - STARTUP_PERIOD_MS
     result = await quota(keeper_exchange, old_ms).spend(RULE, 0.0, began_ms + 5_000.0)
     assert isinstance(result, NotKept)
     assert now_ms() - began_ms < 200.0
@@ -150,7 +150,7 @@
     assert not pending.done()
     knowledge.take_targets([TARGET], 1, now_ms())
     place = await asyncio.wait_for(pending, 0.5)
-    assert isinstance(place, Place) and place.target == TARGET
+    assert isinstance(place, Placement) and place.target == TARGET
 
 
 async def test_wait_for_the_first_list_of_targets_is_limited():
--- a/tests/gateway/test_sender.py
+++ b/tests/gateway/test_target_client.py
@@ -6,7 +6,7 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
 from crocusspindle.core.target_tracker import AttemptOutcome
-from crocusspindle.gateway.sender import OutgoingRequest, TargetClient
+from crocusspindle.gateway.target_client import OutgoingRequest, TargetClient
 from crocusspindle.ids import DomainId, ServiceId
 from crocusspindle.platform.dialect import dialect
 from crocusspindle_standins.on_platform.target import StampedTarget, Trouble
