--- a/benchmarks/fleet_start.py
+++ b/benchmarks/fleet_start.py
@@ -48,9 +48,9 @@
 
 def _all_lists_known(fleet: VirtualFleet) -> bool:
     return all(
-        node.knowledge.configuration.content is not None
-        and node.knowledge.targets.content is not None
-        and node.knowledge.view.content is not None
+        node.fleet_state.configuration.content is not None
+        and node.fleet_state.targets.content is not None
+        and node.fleet_state.view.content is not None
         for node in fleet.nodes.values()
     )
 
--- a/src/crocusspindle/core/assignment_history.py
+++ b/src/crocusspindle/core/assignment_history.py
@@ -59,7 +59,7 @@
         self._views: deque[SeenView] = deque(maxlen=VIEWS_KEPT)
         self._ranks: dict[str, AssignmentRank | None] = {}
 
-    def take_view(self, view: View, now_ms: float) -> None:
+    def update_view(self, view: View, now_ms: float) -> None:
         """Add a newer view."""
         self._views.append(SeenView(view, now_ms))
         self._ranks.clear()
--- a/src/crocusspindle/core/quota_keeper.py
+++ b/src/crocusspindle/core/quota_keeper.py
@@ -102,7 +102,7 @@
         if self._view is None or view.number > self._view.number:
             if now_ms - self._view_confirmed_at_ms > self._fence_ms:
                 self._discard_state()
-            self._history.take_view(view, now_ms)
+            self._history.update_view(view, now_ms)
             self._view = view
             self._fenced_since_ms = {
                 entry.key: self._fenced_since_ms.get(entry.key, now_ms)
--- a/src/crocusspindle/gateway/admission.py
+++ b/src/crocusspindle/gateway/admission.py
@@ -11,7 +11,7 @@
 from crocusspindle.core.configuration import Configuration, CustomerRule, RouteRule
 from crocusspindle.core.request_content import content_digest
 from crocusspindle.gateway.dialect import Dialect
-from crocusspindle.gateway.knowledge import Knowledge
+from crocusspindle.gateway.fleet_state import FleetState
 from crocusspindle.gateway.reload import LiveBounds
 from crocusspindle.gateway.request_context import BODY_BUFFER_BYTES, RequestContext
 from crocusspindle.gateway.responses import Refusal
@@ -32,17 +32,17 @@
     """Find a request's route and customer, and read its body."""
 
     def __init__(
-        self, bounds: LiveBounds, dialect: Dialect, knowledge: Knowledge
+        self, bounds: LiveBounds, dialect: Dialect, fleet_state: FleetState
     ) -> None:
         self._bounds = bounds
         self._dialect = dialect
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
 
     async def admit(
         self, request: web.BaseRequest, request_id: str, began_ms: float
     ) -> RequestContext:
         """Return the context of a request; raise ``Refusal`` if it may not run."""
-        configuration = await self._knowledge.first_configuration()
+        configuration = await self._fleet_state.first_configuration()
         if configuration is None:
             raise Refusal(503, "no-configuration", 500.0)
         route = self._route(configuration, request)
@@ -79,7 +79,7 @@
 
     def is_idempotent(self, request: web.BaseRequest) -> bool:
         """Return True if a request is known to have no body and an idempotent route."""
-        configuration = self._knowledge.configuration.content
+        configuration = self._fleet_state.configuration.content
         if configuration is None or request.body_exists:
             return False
         try:
@@ -96,7 +96,7 @@
         route = configuration.route(name, path)
         if route is not None:
             return route
-        if self._is_stale(self._knowledge.configuration.age_ms(now_ms())):
+        if self._is_stale(self._fleet_state.configuration.age_ms(now_ms())):
             # A newer version may define the route, so stale state can't answer 404.
             raise Refusal(503, "old-configuration", 500.0)
         raise Refusal(404, "no-route")
@@ -109,7 +109,7 @@
     ) -> CustomerRule | None:
         if route.public or not configuration.customers:
             return None
-        age_ms = self._knowledge.configuration.age_ms(now_ms())
+        age_ms = self._fleet_state.configuration.age_ms(now_ms())
         allowed_ms = self._bounds.now.revocation_ms - CONFIRMATION_MARGIN_MS
         if self._bounds.now.fail_closed and age_ms > allowed_ms:
             # The key may have been withdrawn without this node learning of it.
--- a/src/crocusspindle/gateway/assembly.py
+++ b/src/crocusspindle/gateway/assembly.py
@@ -16,14 +16,14 @@
 from crocusspindle.gateway.dialect import Dialect
 from crocusspindle.gateway.entry import Entry
 from crocusspindle.gateway.exchange import Exchange
-from crocusspindle.gateway.knowledge import Knowledge
+from crocusspindle.gateway.fleet_state import FleetState
 from crocusspindle.gateway.line_log import LineHandler
 from crocusspindle.gateway.membership import Membership
 from crocusspindle.gateway.placers import Placers
 from crocusspindle.gateway.placing import Placing
+from crocusspindle.gateway.platform_reader import PlatformReader
 from crocusspindle.gateway.ports import Ports
 from crocusspindle.gateway.quota import Quota
-from crocusspindle.gateway.reading import Reading
 from crocusspindle.gateway.reload import LiveBounds, Reload
 from crocusspindle.gateway.settings import GatewaySettings
 from crocusspindle.ids import Incarnation
@@ -66,37 +66,37 @@
     metrics = Metrics(settings.host, settings.domain)
     platform = platform_of(settings)
     exchange = Exchange((settings.ip, settings.peer_port), rng, metrics)
-    knowledge = Knowledge(platform.parse_configuration)
-    reading = Reading(platform, knowledge)
-    quota = Quota(node, bounds, exchange, knowledge, began_ms)
+    fleet_state = FleetState(platform.parse_configuration)
+    platform_reader = PlatformReader(platform, fleet_state)
+    quota = Quota(node, bounds, exchange, fleet_state, began_ms)
     reader_choice = ReaderChoice(node.host, rng)
     document_limiter = ByteRateLimiter(settings.document_bytes_per_ms)
     membership = Membership(
         node,
         exchange,
-        knowledge,
-        reading,
+        fleet_state,
+        platform_reader,
         quota.expired_keys,
         reader_choice,
         document_limiter,
         rng,
     )
-    crashes = CrashSharing(exchange, knowledge, metrics)
-    placers = Placers(node, bounds, exchange, knowledge, policies, crashes)
+    crashes = CrashSharing(exchange, fleet_state, metrics)
+    placers = Placers(node, bounds, exchange, fleet_state, policies, crashes)
     placing = Placing(exchange, placers, rng, crashes)
-    admission = Admission(bounds, dialect, knowledge)
+    admission = Admission(bounds, dialect, fleet_state)
     attempt_runner = AttemptRunner(node, dialect, placing, metrics, rng)
     entry = Entry(
-        admission, dialect, knowledge, attempt_runner, quota, crashes, metrics
+        admission, dialect, fleet_state, attempt_runner, quota, crashes, metrics
     )
     ports = Ports(
-        settings, dialect, knowledge, membership, entry, metrics, bounds, lines
+        settings, dialect, fleet_state, membership, entry, metrics, bounds, lines
     )
     kernel = Kernel(drain_ms=settings.bounds.grace_ms)
     for service in (
         exchange,
-        knowledge,
-        reading,
+        fleet_state,
+        platform_reader,
         quota,
         membership,
         crashes,
--- a/src/crocusspindle/gateway/attempt_runner.py
+++ b/src/crocusspindle/gateway/attempt_runner.py
@@ -194,7 +194,7 @@
                     "limit_per_s": result.limit_per_s if result else None,
                 }
             )
-            self._metrics.add(instruments.SENDINGS, ending=outcome.value)
+            self._metrics.add(instruments.ATTEMPTS, ending=outcome.value)
 
 
 async def _first_answered(
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -11,7 +11,7 @@
 from crocusspindle.core.placement_request import PlacementRefused
 from crocusspindle.gateway import instruments
 from crocusspindle.gateway.exchange import Address, Exchange
-from crocusspindle.gateway.knowledge import Knowledge, packed_record, unpacked_record
+from crocusspindle.gateway.fleet_state import FleetState, packed_record, unpacked_record
 from crocusspindle.gateway.messages import CrashNote, Done
 from crocusspindle.gateway.placer_ranks import PlacerRanks
 from crocusspindle.ids import ContentDigest, ServiceId
@@ -31,10 +31,10 @@
     needs: ClassVar[tuple[str, ...]] = ("exchange", "knowledge")
 
     def __init__(
-        self, exchange: Exchange, knowledge: Knowledge, metrics: Metrics
+        self, exchange: Exchange, fleet_state: FleetState, metrics: Metrics
     ) -> None:
         self._exchange = exchange
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._metrics = metrics
         self._log = Logger("crashes")
 
@@ -44,28 +44,30 @@
 
     async def _crash_note(self, note: CrashNote, sender: Address) -> Done:
         received = [unpacked_record(parts) for parts in note.records]
-        for record in self._knowledge.take_crashes(received):
+        for record in self._fleet_state.merge_crashes(received):
             self._log_record("crash record heard", record, told_by=sender[0])
         return Done()
 
     def refusal(self, content: ContentDigest) -> PlacementRefused | None:
         """Return the refusal of a held request; None if it may be sent."""
-        left_ms = self._knowledge.crashes.held_until_ms(content) - wall_ms()
+        left_ms = self._fleet_state.crashes.held_until_ms(content) - wall_ms()
         return PlacementRefused("held", left_ms) if left_ms > 0.0 else None
 
     def is_held(self, content: ContentDigest) -> bool:
         """Return True if a request is quarantined and may only be sent as a trial."""
-        return self._knowledge.crashes.is_held(content)
+        return self._fleet_state.crashes.is_held(content)
 
     def is_suspect(self, content: ContentDigest) -> bool:
         """Return True if targets crashed while they ran a request."""
-        isolation = self._knowledge.crashes.isolation(content)
+        isolation = self._fleet_state.crashes.isolation(content)
         return isolation is not Isolation.NONE
 
-    def take(self, service: ServiceId, ranks: PlacerRanks, watch: CrashWatch) -> None:
+    def record_crashes(
+        self, service: ServiceId, ranks: PlacerRanks, watch: CrashWatch
+    ) -> None:
         """Record what a service's placer observed, and publish the changed records."""
         changed: dict[ContentDigest, CrashRecord] = {}
-        table = self._knowledge.crashes
+        table = self._fleet_state.crashes
         for seen in watch.reports():
             self._metrics.add(instruments.CRASHES, service=service)
             log_state_change(
@@ -88,7 +90,7 @@
         self, service: ServiceId, ranks: PlacerRanks, content: ContentDigest
     ) -> None:
         """Record a trial of a held request before it is sent."""
-        record = self._knowledge.crashes.begin_trial(content, wall_ms())
+        record = self._fleet_state.crashes.begin_trial(content, wall_ms())
         if record is not None:
             self._log_record("trial of a held request", record)
             self._publish(service, ranks, (record,))
@@ -101,25 +103,25 @@
         if unshared:
             ranks.notify_others(service, CrashNote(unshared))
         if shared:
-            self._knowledge.refresh_crash_encoding()
+            self._fleet_state.refresh_crash_encoding()
             self.spawn(self._publish_to_all(CrashNote(shared)))
 
     async def _publish_to_all(self, note: CrashNote) -> None:
-        view = self._knowledge.view.content
+        view = self._fleet_state.view.content
         addresses: Sequence[Address] = (
             ()
             if view is None
             else [(entry.node.ip, entry.node.peer_port) for entry in view.entries]
         )
         requests = (
-            self._exchange.ask(to, note, PEER_TIMEOUT_S, PEER_TIMEOUT_S)
+            self._exchange.request(to, note, PEER_TIMEOUT_S, PEER_TIMEOUT_S)
             for to in addresses
         )
         await asyncio.gather(*requests)
 
     def _log_record(self, message: str, record: CrashRecord, **more: str) -> None:
         held = self.is_held(record.content)
-        left_ms = self._knowledge.crashes.held_until_ms(record.content) - wall_ms()
+        left_ms = self._fleet_state.crashes.held_until_ms(record.content) - wall_ms()
         log_state_change(
             self._log,
             message,
--- a/src/crocusspindle/gateway/dialect.py
+++ b/src/crocusspindle/gateway/dialect.py
@@ -24,4 +24,4 @@
     where_path: str
     target_limit_per_s: Callable[[Mapping[str, str]], float | None]
     caller_domain: Callable[[Mapping[str, str]], str]
-    where_answer: Callable[[Sequence[str], float], bytes]
+    where_response: Callable[[Sequence[str], float], bytes]
--- a/src/crocusspindle/gateway/entry.py
+++ b/src/crocusspindle/gateway/entry.py
@@ -16,7 +16,7 @@
 from crocusspindle.gateway.attempt_runner import AttemptRunner
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.dialect import Dialect
-from crocusspindle.gateway.knowledge import NEVER_MS, Knowledge
+from crocusspindle.gateway.fleet_state import UNCONFIRMED_AGE_MS, FleetState
 from crocusspindle.gateway.quota import NO_KEEPER_RETRY_MS, Quota
 from crocusspindle.gateway.request_context import RequestContext
 from crocusspindle.gateway.responses import (
@@ -59,7 +59,7 @@
         self,
         admission: Admission,
         dialect: Dialect,
-        knowledge: Knowledge,
+        fleet_state: FleetState,
         attempt_runner: AttemptRunner,
         quota: Quota,
         crashes: CrashSharing,
@@ -68,7 +68,7 @@
         self._crashes = crashes
         self._admission = admission
         self._dialect = dialect
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._attempt_runner = attempt_runner
         self._quota = quota
         self._metrics = metrics
@@ -185,7 +185,7 @@
         return response
 
     def _fields(self, context: RequestContext) -> dict[str, object]:
-        configuration = self._knowledge.configuration
+        configuration = self._fleet_state.configuration
         return {
             "route": context.route.name,
             "kind": context.route.kind.value,
@@ -194,7 +194,7 @@
             "keeper": self._quota.keeper_of(context.customer)
             if context.customer
             else None,
-            "view": self._knowledge.view.version,
+            "view": self._fleet_state.view.version,
             "sends": context.attempt_records,
             "body_bytes": context.body_bytes,
             "content": context.content,
@@ -204,7 +204,7 @@
         }
 
     def _log_end(self, context: RequestContext, outcome: str) -> None:
-        self._metrics.add(instruments.ANSWERS, outcome=outcome)
+        self._metrics.add(instruments.RESPONSES, outcome=outcome)
         self._log.info(
             "request ended",
             extra={
@@ -216,7 +216,7 @@
         )
 
     def _log_refusal(self, processed: ProcessedRequest, refusal: Refusal) -> None:
-        configuration = self._knowledge.configuration
+        configuration = self._fleet_state.configuration
         self._log.info(
             "request refused",
             extra={
@@ -241,4 +241,4 @@
 
 
 def _age_ms(state: VersionedState[Configuration]) -> int:
-    return round(min(state.age_ms(now_ms()), NEVER_MS))
+    return round(min(state.age_ms(now_ms()), UNCONFIRMED_AGE_MS))
--- a/src/crocusspindle/gateway/exchange.py
+++ b/src/crocusspindle/gateway/exchange.py
@@ -66,7 +66,7 @@
         """
         self._handlers[kind] = handler
 
-    def handle_late(self, kind: type[Any], handler: LateHandler) -> None:
+    def handle_late_response(self, kind: type[Any], handler: LateHandler) -> None:
         """Call a handler for responses whose request was given up."""
         self._late_handlers[kind] = handler
 
@@ -82,11 +82,11 @@
         if self._transport is not None:
             self._transport.close()
 
-    def tell(self, to: Address, content: Any) -> None:
+    def notify(self, to: Address, content: Any) -> None:
         """Send a message once, without a response."""
         self._send(to, packed([NOTIFICATION, 0, *pack(content)]), type(content))
 
-    async def ask(
+    async def request(
         self, to: Address, content: Any, silent_s: float, limit_s: float
     ) -> Any | None:
         """Send a message until a response arrives; return None if the peer is silent.
--- a/src/crocusspindle/gateway/knowledge.py
+++ b/src/crocusspindle/gateway/fleet_state.py
@@ -22,8 +22,8 @@
 from crocusspindle.core.versioned_state import VersionedState
 from crocusspindle.core.view import NodeAddress, View, ViewEntry
 from crocusspindle.errors import InvalidInputError
+from crocusspindle.gateway.document_deltas import Delta, DocumentEncodings
 from crocusspindle.gateway.messages import State
-from crocusspindle.gateway.updates import Delta, DocumentEncodings
 from crocusspindle.ids import ContentDigest, DomainId, HostId, Incarnation, ServiceId
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
@@ -34,7 +34,7 @@
 possibly for long."""
 
 NO_DIGEST: Final = 0
-NEVER_MS: Final = 1e9
+UNCONFIRMED_AGE_MS: Final = 1e9
 """Age reported for state that has never been confirmed."""
 
 
@@ -56,7 +56,7 @@
 NOTHING_HELD: Final = HeldKeys(-1, NO_DIGEST, -1, NO_DIGEST, NO_DIGEST)
 
 
-class Knowledge(Service):
+class FleetState(Service):
     """Hold configuration, targets, view, open nodes and crash records.
 
     Configuration, targets and view carry the time of their last confirmation.
@@ -76,7 +76,7 @@
         self.crashes = CrashTable()
         self.crash_digest = NO_DIGEST
         self.store_regained_at_ms = -math.inf
-        self.born_ms = now_ms()
+        self.started_ms = now_ms()
         self._configured = asyncio.Event()
         self._listed = asyncio.Event()
         self._encodings: dict[str, DocumentEncodings] = {
@@ -86,11 +86,11 @@
         self._needs_full_documents = False
         self._listeners: list[Callable[[], None]] = []
 
-    def listen(self, changed: Callable[[], None]) -> None:
+    def add_listener(self, changed: Callable[[], None]) -> None:
         """Call a function after each change of content or confirmation time."""
         self._listeners.append(changed)
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Notify the listeners that the state may have changed."""
         for listener in self._listeners:
             listener()
@@ -100,17 +100,17 @@
         await self._wait_for_first(self._configured)
         return self.configuration.content
 
-    async def first_targets(self) -> None:
+    async def wait_for_first_targets(self) -> None:
         """Wait for the first list of targets just after the start."""
         await self._wait_for_first(self._listed)
 
     async def _wait_for_first(self, known: asyncio.Event) -> None:
-        left_ms = self.born_ms + FIRST_READ_MS - now_ms()
+        left_ms = self.started_ms + FIRST_READ_MS - now_ms()
         if left_ms > 0 and not known.is_set():
             with suppress(TimeoutError):
                 await asyncio.wait_for(known.wait(), left_ms / 1e3)
 
-    def take_configuration(self, value: bytes, confirmed_at_ms: float) -> None:
+    def update_configuration(self, value: bytes, confirmed_at_ms: float) -> None:
         """Apply a configuration document of the platform, unless it is invalid."""
         try:
             content = self._parse(value)
@@ -127,7 +127,7 @@
                 proof_age_ms=_age_field_ms(now_ms() - confirmed_at_ms),
             )
 
-    def take_targets(
+    def update_targets(
         self, listed: Sequence[ListedTarget], version: int, confirmed_at_ms: float
     ) -> None:
         """Apply the list of targets as of a version of the store."""
@@ -151,7 +151,7 @@
                 listed=len(ordered),
             )
 
-    def take_view(self, view: View, confirmed_at_ms: float) -> None:
+    def update_view(self, view: View, confirmed_at_ms: float) -> None:
         """Apply a view of the members if it is newer."""
         if self.view.update(view, view.number, confirmed_at_ms):
             self._encodings["view"].update(view.number, _encode(packed_view(view)))
@@ -163,14 +163,14 @@
                 fenced=[entry.node.host for entry in view.fenced],
             )
 
-    def take_open_nodes(self, open_nodes: Sequence[tuple[str, str]]) -> None:
+    def update_open_nodes(self, open_nodes: Sequence[tuple[str, str]]) -> None:
         """Apply the list of nodes that accept new callers."""
         self.open_nodes = [(address, domain) for address, domain in open_nodes]
         encoding = _encode(self.open_nodes)
         self.open_digest = encoding_digest(encoding)
         self._encodings["open"].update(self.open_digest, encoding)
 
-    def take_crashes(self, records: Sequence[CrashRecord]) -> list[CrashRecord]:
+    def merge_crashes(self, records: Sequence[CrashRecord]) -> list[CrashRecord]:
         """Merge crash records of other nodes; return the records that changed."""
         changed = self.crashes.merge(records, wall_ms())
         if changed:
@@ -184,14 +184,16 @@
         self.crash_digest = encoding_digest(encoding) if shared else NO_DIGEST
         self._encodings["crashes"].update(self.crash_digest, encoding)
 
-    def take_state(self, state: State, sent_ms: float) -> bool:
+    def apply_state(self, state: State, sent_ms: float) -> bool:
         """Apply a reader's response; its ages count from ``sent_ms`` of the request.
 
         Return False if a delta could not be applied because its base is not held.
         """
         configuration = self._apply_delta("configuration", state.configuration)
         if configuration is not None:
-            self.take_configuration(configuration, sent_ms - state.configuration_age_ms)
+            self.update_configuration(
+                configuration, sent_ms - state.configuration_age_ms
+            )
         self.configuration.confirm(
             state.configuration_version, sent_ms - state.configuration_age_ms
         )
@@ -199,19 +201,19 @@
         view = self._apply_delta("view", state.view)
         if view is not None:
             content = unpacked_view(msgpack.unpackb(view))
-            self.take_view(content, sent_ms - state.view_age_ms)
+            self.update_view(content, sent_ms - state.view_age_ms)
         self.view.confirm(state.view_number, sent_ms - state.view_age_ms)
         open_nodes = self._apply_delta("open", state.open_nodes)
         if open_nodes is not None:
-            self.take_open_nodes(msgpack.unpackb(open_nodes))
+            self.update_open_nodes(msgpack.unpackb(open_nodes))
         crashes = self._apply_delta("crashes", state.crashes)
         if crashes is not None:
             records = msgpack.unpackb(crashes)
-            self.take_crashes([unpacked_record(parts) for parts in records])
-        if state.store_regained_age_ms < NEVER_MS:
+            self.merge_crashes([unpacked_record(parts) for parts in records])
+        if state.store_regained_age_ms < UNCONFIRMED_AGE_MS:
             regained_at_ms = sent_ms - state.store_regained_age_ms
             self.store_regained_at_ms = max(self.store_regained_at_ms, regained_at_ms)
-        self.tell()
+        self.notify()
         applied = all(
             delta is None or encoding is not None
             for delta, encoding in (
@@ -249,7 +251,7 @@
         encoding = self._apply_delta("targets", state.targets)
         if encoding is not None:
             listed = unpacked_targets(msgpack.unpackb(encoding))
-            self.take_targets(listed, state.targets_version, confirmed_at_ms)
+            self.update_targets(listed, state.targets_version, confirmed_at_ms)
         elif state.targets_digest == self.targets_digest:
             content = self.targets.content or ()
             self.targets.update(content, state.targets_version, confirmed_at_ms)
@@ -307,7 +309,7 @@
 
 
 def _age_field_ms(age_ms: float) -> int:
-    return int(min(age_ms + 1, NEVER_MS))
+    return int(min(age_ms + 1, UNCONFIRMED_AGE_MS))
 
 
 def _encode(content: Any) -> bytes:
--- a/src/crocusspindle/gateway/held_requests.py
+++ b/src/crocusspindle/gateway/held_requests.py
@@ -15,8 +15,8 @@
     PlatformUnavailableError,
 )
 from crocusspindle.gateway.assembly import platform_of
-from crocusspindle.gateway.knowledge import packed_record, unpacked_record
-from crocusspindle.gateway.reading import CRASH_PREFIX
+from crocusspindle.gateway.fleet_state import packed_record, unpacked_record
+from crocusspindle.gateway.platform_reader import CRASH_PREFIX
 from crocusspindle.ids import ContentDigest
 from crocusspindle.platform import settings_file, table_store
 from crocusspindle.platform.fleet_platform import FleetPlatform, StoredRow, Table
--- a/src/crocusspindle/gateway/instruments.py
+++ b/src/crocusspindle/gateway/instruments.py
@@ -4,7 +4,7 @@
 
 from crocusspindle.metrics import InstrumentKind, declare
 
-ANSWERS: Final = declare(
+RESPONSES: Final = declare(
     "gateway_answers",
     InstrumentKind.COUNTER,
     unit="requests",
@@ -23,7 +23,7 @@
     "`full` and `repeats` the capacity of a service, `proof-too-old` and `no-keeper` "
     "the network to the platform or between nodes.",
 )
-SENDINGS: Final = declare(
+ATTEMPTS: Final = declare(
     "gateway_sendings",
     InstrumentKind.COUNTER,
     unit="sendings",
--- a/src/crocusspindle/gateway/membership.py
+++ b/src/crocusspindle/gateway/membership.py
@@ -13,10 +13,10 @@
 from crocusspindle.core.view import NodeAddress, ViewEntryKey
 from crocusspindle.errors import PlatformError
 from crocusspindle.gateway.exchange import Address, Exchange
-from crocusspindle.gateway.knowledge import (
+from crocusspindle.gateway.fleet_state import (
     NOTHING_HELD,
+    FleetState,
     HeldKeys,
-    Knowledge,
     packed_node,
     packed_record,
     unpacked_node,
@@ -31,10 +31,10 @@
     Probe,
     State,
 )
-from crocusspindle.gateway.reading import (
+from crocusspindle.gateway.platform_reader import (
     OWN_READ_MS,
     READ_AFTER_PING_MS,
-    Reading,
+    PlatformReader,
     ReadReason,
 )
 from crocusspindle.gateway.registration import Registration
@@ -85,8 +85,8 @@
         self,
         node: NodeAddress,
         exchange: Exchange,
-        knowledge: Knowledge,
-        reading: Reading,
+        fleet_state: FleetState,
+        platform_reader: PlatformReader,
         expired_keys: Callable[[], set[ViewEntryKey]],
         reader_choice: ReaderChoice,
         document_limiter: ByteRateLimiter,
@@ -97,10 +97,14 @@
         self._document_limiter = document_limiter
         self._rng = rng
         self._exchange = exchange
-        self._knowledge = knowledge
-        self._reading = reading
-        self._registration = Registration(node, knowledge, reading, rng, self.spawn)
-        self._views = ViewKeeper(node, exchange, knowledge, reading, expired_keys)
+        self._fleet_state = fleet_state
+        self._platform_reader = platform_reader
+        self._registration = Registration(
+            node, fleet_state, platform_reader, rng, self.spawn
+        )
+        self._views = ViewKeeper(
+            node, exchange, fleet_state, platform_reader, expired_keys
+        )
         self._log = Logger("membership")
         self._known_nodes: dict[HostId, NodeAddress] = {node.host: node}
         self._node_by_sender: dict[tuple[Address, str], NodeAddress] = {}
@@ -122,8 +126,8 @@
         self._exchange.handle(State, self._state)
         self._exchange.handle(Probe, self._respond_to_probe)
         self._exchange.handle(Peek, self._respond_to_peek)
-        self._reading.query_peers = self._query_peers
-        self._knowledge.listen(self._push)
+        self._platform_reader.query_peers = self._query_peers
+        self._fleet_state.add_listener(self._push)
         self.spawn(self._join_fleet())
         self.spawn(self._view_loop())
 
@@ -134,22 +138,22 @@
 
     def address(self, host: HostId) -> Address | None:
         """Return the address for a node's datagrams; None if the node is unknown."""
-        view = self._knowledge.view.content
+        view = self._fleet_state.view.content
         entry = None if view is None else view.by_host.get(host)
         node = entry.node if entry is not None else self._known_nodes.get(host)
         return None if node is None else (node.ip, node.peer_port)
 
     async def _join_fleet(self) -> None:
         await self._registration.find_fleet()
-        for node in self._reading.nodes.values():
+        for node in self._platform_reader.nodes.values():
             self._add_known_node(node)
         # Only the likely readers need to know this process. Notifying all nodes would
         # cost a message for each pair of nodes when a fleet starts.
         for host in self._candidates()[:MAX_READERS_TRIED]:
             to = self.address(host)
             if to is not None and host != self._node.host:
-                self._exchange.tell(to, self._own_hello())
-        if self._knowledge.view.content is None:
+                self._exchange.notify(to, self._own_hello())
+        if self._fleet_state.view.content is None:
             # The whole fleet starts. A node that pings at once knows only itself, and
             # each node would read the platform for itself.
             self._documents_timeout_ms = DOCUMENTS_TIMEOUT_MS
@@ -191,7 +195,7 @@
             self._wake.set()
 
     async def _refresh_state(self) -> None:
-        if self._reading.is_store_lost:
+        if self._platform_reader.is_store_lost:
             # Peers may reach the store, and a relayed confirmation counts as well.
             self._suspect(self._node.host, "lost the store")
         for reader in self._candidates()[:MAX_READERS_TRIED]:
@@ -200,13 +204,13 @@
             if await self._ping_reader(reader):
                 return
         # No reader has fresh confirmations: read the platform from here.
-        self._reading.request_reads(OWN_READ_MS, ReadReason.NO_READER)
+        self._platform_reader.request_reads(OWN_READ_MS, ReadReason.NO_READER)
 
     def _candidates(self) -> list[HostId]:
         return self._reader_choice.candidates(self._known().values(), now_ms())
 
     def _known(self) -> dict[HostId, NodeAddress]:
-        view = self._knowledge.view.content
+        view = self._fleet_state.view.content
         if view is None:
             return dict(self._known_nodes)
         # Only members of the view may read for others. Starting hosts each know a
@@ -221,18 +225,18 @@
         if to is None:
             return False
         sent_ms = now_ms()
-        state = await self._exchange.ask(
+        state = await self._exchange.request(
             to, self._own_ping(), PEER_SILENT_S, PEER_LIMIT_S
         )
         if not isinstance(state, State):
             self._suspect(reader, "silent")
             return False
-        self._knowledge.take_state(state, sent_ms)
+        self._fleet_state.apply_state(state, sent_ms)
         if state.sender_unknown:
-            self._exchange.tell(to, self._own_hello())
-        if state.crash_digest != self._knowledge.crash_digest:
-            records = self._knowledge.crashes.shared()
-            self._exchange.tell(to, CrashNote([packed_record(r) for r in records]))
+            self._exchange.notify(to, self._own_hello())
+        if state.crash_digest != self._fleet_state.crash_digest:
+            records = self._fleet_state.crashes.shared()
+            self._exchange.notify(to, CrashNote([packed_record(r) for r in records]))
         oldest_ms = max(state.configuration_age_ms, state.targets_age_ms)
         if not state.reaches_store or oldest_ms > STALE_STATE_MS:
             reason = "old proofs" if state.reaches_store else "lost the store"
@@ -253,7 +257,7 @@
         if now_ms() - self._deferred_since_ms >= self._documents_timeout_ms:
             self._deferred_since_ms = math.inf
             self._documents_timeout_ms = DOCUMENTS_TIMEOUT_MS
-            await self._reading.read_once(ReadReason.DOCUMENTS_DEFERRED)
+            await self._platform_reader.read_once(ReadReason.DOCUMENTS_DEFERRED)
 
     def _suspect(self, reader: HostId, reason: str) -> None:
         node = self._known().get(reader, self._node)
@@ -265,13 +269,13 @@
     def _own_ping(self) -> Ping:
         return Ping(
             self._node.incarnation,
-            self._knowledge.held_keys(),
+            self._fleet_state.held_keys(),
             self.ready,
             self.leaving,
         )
 
     async def _ping(self, ping: Ping, sender: Address) -> State:
-        self._reading.request_reads(READ_AFTER_PING_MS, ReadReason.PINGED)
+        self._platform_reader.request_reads(READ_AFTER_PING_MS, ReadReason.PINGED)
         await self._wait_for_first_reads()
         node = self._node_by_sender.get((sender, ping.incarnation))
         if node is not None:
@@ -282,10 +286,10 @@
             self._ready[host] = ping.ready
             if ping.leaving:
                 self._update_open_nodes()
-        state = self._knowledge.state_for(
+        state = self._fleet_state.state_for(
             HeldKeys(*ping.held),
             sender_unknown=node is None,
-            reaches_store=not self._reading.is_store_lost,
+            reaches_store=not self._platform_reader.is_store_lost,
         )
         return state if self._may_send(state) else state.without_documents()
 
@@ -308,20 +312,20 @@
         to = self.address(host)
         if to is None:
             return
-        sent_ms, peek = now_ms(), Peek(self._knowledge.held_keys())
-        state = await self._exchange.ask(to, peek, PEER_SILENT_S, PEER_LIMIT_S)
+        sent_ms, peek = now_ms(), Peek(self._fleet_state.held_keys())
+        state = await self._exchange.request(to, peek, PEER_SILENT_S, PEER_LIMIT_S)
         if isinstance(state, State):
-            self._knowledge.take_state(state, sent_ms)
+            self._fleet_state.apply_state(state, sent_ms)
 
     async def _respond_to_peek(self, peek: Peek, sender: Address) -> State:
-        return self._knowledge.state_for(HeldKeys(*peek.held))
+        return self._fleet_state.state_for(HeldKeys(*peek.held))
 
     async def _wait_for_first_reads(self) -> None:
         # All pings wait for the first responses of the store after an idle period.
         # Answered without, nodes would move on to the next reader, also just idle.
-        deadline_ms = self._reading.active_since_ms + FIRST_READS_MS
+        deadline_ms = self._platform_reader.active_since_ms + FIRST_READS_MS
         while now_ms() < deadline_ms:
-            oldest = self._knowledge.configuration.age_ms(now_ms())
+            oldest = self._fleet_state.configuration.age_ms(now_ms())
             if oldest < STALE_STATE_MS:
                 return
             await asyncio.sleep(0.01)
@@ -330,9 +334,9 @@
         # The transit time of a pushed state is unknown, so its documents are applied
         # but it confirms nothing.
         self._applying_push = True
-        applied = self._knowledge.take_state(state, -math.inf)
+        applied = self._fleet_state.apply_state(state, -math.inf)
         self._applying_push = False
-        self._pushed_keys = self._knowledge.current_keys()
+        self._pushed_keys = self._fleet_state.current_keys()
         if not applied:
             # An earlier push was lost, and this one holds only a delta to it.
             self._wake.set()
@@ -341,12 +345,12 @@
         self._views.record_view_change()
         # Don't relay a push: two readers with different lists would swap them without
         # end at network speed. Nodes that ping this one learn of it then.
-        if self._applying_push or not self._reading.active:
+        if self._applying_push or not self._platform_reader.active:
             return
-        newest = self._knowledge.current_keys()
+        newest = self._fleet_state.current_keys()
         if newest == self._pushed_keys:
             return
-        state = self._knowledge.state_for(self._pushed_keys)
+        state = self._fleet_state.state_for(self._pushed_keys)
         self._pushed_keys = newest
         oldest_ping_ms = now_ms() - PING_TIMEOUT_MS
         for host, last_ping_ms in self._last_ping_ms.items():
@@ -356,7 +360,7 @@
             if not self._may_send(state):
                 # The others learn of it with their next ping.
                 return
-            self._exchange.tell(to, state)
+            self._exchange.notify(to, state)
 
     def _present_nodes(self) -> dict[HostId, NodeAddress]:
         oldest_ping_ms = now_ms() - PING_TIMEOUT_MS
@@ -375,18 +379,18 @@
             for host, node in self._present_nodes().items()
             if (self.ready if host == self._node.host else self._ready.get(host))
         )
-        if open_nodes != self._knowledge.open_nodes:
-            self._knowledge.take_open_nodes(open_nodes)
+        if open_nodes != self._fleet_state.open_nodes:
+            self._fleet_state.update_open_nodes(open_nodes)
             self._push()
 
     async def _view_loop(self) -> None:
         while True:
-            await self._reading.wait_until_active()
+            await self._platform_reader.wait_until_active()
             await asyncio.sleep(VIEW_INTERVAL_S)
             self._update_open_nodes()
             try:
                 await self._views.renew(self._present_nodes())
-                await self._reading.write_crashes()
+                await self._platform_reader.write_crashes()
             except PlatformError as error:
                 log_state_change(self._log, "view not written", error=str(error))
 
--- a/src/crocusspindle/gateway/messages.py
+++ b/src/crocusspindle/gateway/messages.py
@@ -8,13 +8,13 @@
 
 from crocusspindle.core.target_tracker import AttemptOutcome
 from crocusspindle.errors import PeerError
-from crocusspindle.gateway.updates import NO_BASE
+from crocusspindle.gateway.document_deltas import NO_BASE
 
 MAX_DOCUMENT_BYTES: Final = 60_000
 """Limit for documents in one message. A datagram holds 65,507 bytes; a longer one is
 dropped silently, and every host that pings would count the reader as silent."""
 
-ENDINGS: Final = tuple(AttemptOutcome)
+ATTEMPT_OUTCOMES: Final = tuple(AttemptOutcome)
 """Attempt outcomes in the order of their numbers on the wire."""
 
 _BY_CODE: Final[dict[int, type[Any]]] = {}
--- a/src/crocusspindle/gateway/placer_ranks.py
+++ b/src/crocusspindle/gateway/placer_ranks.py
@@ -6,7 +6,7 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.core.view import NodeAddress, View
 from crocusspindle.gateway.exchange import Address, Exchange
-from crocusspindle.gateway.knowledge import Knowledge
+from crocusspindle.gateway.fleet_state import FleetState
 from crocusspindle.ids import DomainId, HostId, ServiceId
 
 MAX_PLACERS: Final = 3
@@ -21,19 +21,19 @@
     """Rank the members as placers of each service."""
 
     def __init__(
-        self, node: NodeAddress, exchange: Exchange, knowledge: Knowledge
+        self, node: NodeAddress, exchange: Exchange, fleet_state: FleetState
     ) -> None:
         self._node = node
         self._exchange = exchange
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._ranked: dict[ServiceId, list[HostId]] = {}
         self._view_version = -1
         self._views: deque[tuple[float, View | None]] = deque(maxlen=VIEWS_KEPT)
         self._domains: dict[str, DomainId] = {}
 
-    def take_view(self) -> bool:
+    def update_view(self) -> bool:
         """Update to the view in force; return True if it has changed."""
-        state = self._knowledge.view
+        state = self._fleet_state.view
         if state.version == self._view_version:
             return False
         self._view_version = state.version
@@ -47,7 +47,7 @@
         """Return the members by rank."""
         ranked = self._ranked.get(service)
         if ranked is None:
-            ranked = _ranked(self._knowledge.view.content, service)
+            ranked = _ranked(self._fleet_state.view.content, service)
             self._ranked[service] = ranked
         return ranked
 
@@ -71,11 +71,11 @@
         for host in self.ranked(service)[:MAX_PLACERS]:
             to = self.address(host)
             if host != self._node.host and to is not None:
-                self._exchange.tell(to, note)
+                self._exchange.notify(to, note)
 
     def address(self, host: HostId) -> Address | None:
         """Return the address of a member for datagrams."""
-        view = self._knowledge.view.content
+        view = self._fleet_state.view.content
         entry = None if view is None else view.by_host.get(host)
         return None if entry is None else (entry.node.ip, entry.node.peer_port)
 
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -19,9 +19,9 @@
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.exchange import Address, Exchange
-from crocusspindle.gateway.knowledge import Knowledge
+from crocusspindle.gateway.fleet_state import FleetState
 from crocusspindle.gateway.messages import (
-    ENDINGS,
+    ATTEMPT_OUTCOMES,
     Done,
     EjectedNote,
     EndedNote,
@@ -33,8 +33,8 @@
 )
 from crocusspindle.gateway.placer_ranks import PlacerRanks
 from crocusspindle.gateway.reload import LiveBounds
-from crocusspindle.gateway.repeat_sharing import RepeatSharing
 from crocusspindle.gateway.reported_limits import packed_limits, unpacked_limits
+from crocusspindle.gateway.retry_sharing import RetrySharing
 from crocusspindle.ids import ContentDigest, GrantId, HostId, ServiceId
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
@@ -60,17 +60,17 @@
         node: NodeAddress,
         bounds: LiveBounds,
         exchange: Exchange,
-        knowledge: Knowledge,
+        fleet_state: FleetState,
         policies: Policies,
         crashes: CrashSharing,
     ) -> None:
         self._bounds = bounds
         self._exchange = exchange
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._policies = policies
         self._crashes = crashes
-        self.ranks = PlacerRanks(node, exchange, knowledge)
-        self._retry_sharing = RepeatSharing(node, bounds, self.ranks)
+        self.ranks = PlacerRanks(node, exchange, fleet_state)
+        self._retry_sharing = RetrySharing(node, bounds, self.ranks)
         self._placers: dict[ServiceId, ServicePlacer] = {}
         self.targets: dict[TargetIdentity, ListedTarget] = {}
         self._targets_digest = 0
@@ -85,18 +85,18 @@
         self._exchange.handle(EjectedNote, self._ejected_note)
         self._exchange.handle(RepeatsNote, self._repeats_note)
         self._exchange.handle(PacedNote, self._paced_note)
-        self._knowledge.listen(self._apply_fleet_state)
+        self._fleet_state.add_listener(self._apply_fleet_state)
 
     def _apply_fleet_state(self) -> None:
-        state = self._knowledge
+        state = self._fleet_state
         if state.targets_digest != self._targets_digest:
             self._targets_digest = state.targets_digest
             listed = state.targets.content or ()
             self.targets = {entry.identity: entry for entry in listed}
             for service, placer in self._placers.items():
                 placer.set_targets(self.targets_of(service), now_ms())
-        if self.ranks.take_view():
-            self._retry_sharing.take_ranks()
+        if self.ranks.update_view():
+            self._retry_sharing.update_ranks()
 
     def targets_of(self, service: ServiceId) -> list[ListedTarget]:
         """Return the listed targets of a service."""
@@ -112,7 +112,7 @@
                 budget,
                 self._policies,
                 now_ms(),
-                self._knowledge.crashes,
+                self._fleet_state.crashes,
             )
             placer.set_targets(self.targets_of(service), now_ms())
             if not self._placers:
@@ -123,7 +123,7 @@
 
     async def wait_until_listed(self) -> None:
         """Wait a limited time for the first list of targets after the start."""
-        await self._knowledge.first_targets()
+        await self._fleet_state.wait_for_first_targets()
         # Listeners are notified only when the other tables have been read as well.
         self._apply_fleet_state()
 
@@ -159,7 +159,7 @@
         for report in unpacked_limits(message.limits, at_ms):
             self._apply_limit(placer, report)
         decision = placer.request_placement(placement_request, at_ms)
-        self._retry_sharing.tell_if_due(ServiceId(message.service))
+        self._retry_sharing.publish_if_due(ServiceId(message.service))
         if isinstance(decision, PlacementRefused) and decision.reason == "repeats":
             self._retry_sharing.log_bound(ServiceId(message.service))
         if isinstance(decision, QueuedRequest):
@@ -229,7 +229,7 @@
         placer = self._placer(target.service)
         if (
             note.limit_per_s is not None
-            or ENDINGS[note.ending] is AttemptOutcome.ANSWERED
+            or ATTEMPT_OUTCOMES[note.ending] is AttemptOutcome.ANSWERED
         ):
             sent_ms = now_ms() - note.latency_ms
             report = LimitReport(target.identity, note.limit_per_s, sent_ms)
@@ -237,14 +237,14 @@
         placer.ended(
             target.identity,
             GrantId(note.grant),
-            ENDINGS[note.ending],
+            ATTEMPT_OUTCOMES[note.ending],
             HostId(sender[0]),
             note.latency_ms,
             now_ms(),
             ContentDigest(note.content),
         )
         crashed = placer.crash_watch.has_reports
-        self._crashes.take(target.service, self.ranks, placer.crash_watch)
+        self._crashes.record_crashes(target.service, self.ranks, placer.crash_watch)
         if crashed:
             placer.process_due(now_ms())
         self._wake_settled()
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -13,7 +13,7 @@
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.exchange import Address, Exchange
 from crocusspindle.gateway.messages import (
-    ENDINGS,
+    ATTEMPT_OUTCOMES,
     EndedNote,
     PlaceAnswer,
     PlaceAsk,
@@ -69,7 +69,7 @@
     async def start(self) -> None:
         """Handle replies that arrive late."""
         self._placers.on_ejected = self._fallback.avoid
-        self._exchange.handle_late(PlaceAnswer, self._release_grant)
+        self._exchange.handle_late_response(PlaceAnswer, self._release_grant)
 
     def _release_grant(self, reply: PlaceAnswer, placer: Address) -> None:
         # The request was abandoned or went to another placer. Its slot would stay taken
@@ -77,10 +77,12 @@
         note = EndedNote(
             reply.target,
             reply.grant,
-            ENDINGS.index(AttemptOutcome.ABANDONED),
+            ATTEMPT_OUTCOMES.index(AttemptOutcome.ABANDONED),
             0,
         )
-        self.spawn(self._exchange.ask(placer, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S))
+        self.spawn(
+            self._exchange.request(placer, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S)
+        )
 
     async def place(
         self, service: ServiceId, placement_request: PlacementRequest
@@ -127,7 +129,9 @@
             list(placement_request.excluded),
             packed_limits(self._limits_of(service), now_ms()),
         )
-        reply = await self._exchange.ask(to, message, REPLY_TIMEOUT_S, left_ms / 1e3)
+        reply = await self._exchange.request(
+            to, message, REPLY_TIMEOUT_S, left_ms / 1e3
+        )
         if isinstance(reply, RefusedAnswer):
             return PlacementRefused(reply.reason, reply.retry_after_ms)
         if not isinstance(reply, PlaceAnswer):
@@ -181,7 +185,7 @@
         note = EndedNote(
             placement.target.identity,
             placement.grant or 0,
-            ENDINGS.index(AttemptOutcome.CRASHED),
+            ATTEMPT_OUTCOMES.index(AttemptOutcome.CRASHED),
             round(latency_ms),
             content,
         )
@@ -199,7 +203,7 @@
                 continue
             tried += 1
             if (
-                await self._exchange.ask(to, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S)
+                await self._exchange.request(to, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S)
                 is not None
             ):
                 return
@@ -231,7 +235,7 @@
         note = EndedNote(
             placement.target.identity,
             placement.grant,
-            ENDINGS.index(outcome),
+            ATTEMPT_OUTCOMES.index(outcome),
             round(latency_ms),
             content if outcome is AttemptOutcome.BROKEN else "",
             limit_per_s,
@@ -239,4 +243,4 @@
         # Also notifies a placer that was removed from the view: it keeps placing for a
         # while, and attempts without a reported end would look like hanging targets.
         to = placement.placer_address
-        self.spawn(self._exchange.ask(to, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S))
+        self.spawn(self._exchange.request(to, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S))
--- a/src/crocusspindle/gateway/reading.py
+++ b/src/crocusspindle/gateway/platform_reader.py
@@ -12,8 +12,8 @@
 from crocusspindle.core.listed_target import ListedTarget
 from crocusspindle.core.view import NodeAddress, View
 from crocusspindle.errors import PlatformError, PlatformUnavailableError
-from crocusspindle.gateway.knowledge import (
-    Knowledge,
+from crocusspindle.gateway.fleet_state import (
+    FleetState,
     packed_node,
     packed_record,
     packed_view,
@@ -78,15 +78,15 @@
     DOCUMENTS_DEFERRED = "the reader has no room for whole contents"
 
 
-class Reading(Service):
+class PlatformReader(Service):
     """Follow the three tables while reads are requested."""
 
     name: ClassVar[str] = "reading"
     needs: ClassVar[tuple[str, ...]] = ("knowledge",)
 
-    def __init__(self, platform: FleetPlatform, knowledge: Knowledge) -> None:
+    def __init__(self, platform: FleetPlatform, fleet_state: FleetState) -> None:
         self._platform = platform
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._log = Logger("reading")
         self._requested_until_ms = -math.inf
         self._requested = asyncio.Event()
@@ -135,7 +135,7 @@
         self._failing_since_ms.clear()
 
     def _adopt_targets_in_force(self) -> None:
-        in_force = self._knowledge.targets.content or ()
+        in_force = self._fleet_state.targets.content or ()
         self._targets = {str(target.identity): target for target in in_force}
 
     @property
@@ -166,7 +166,9 @@
         while True:
             await self._wait_until_requested()
             began_ms = now_ms()
-            newest_version = max(self._newest_version, self._knowledge.targets.version)
+            newest_version = max(
+                self._newest_version, self._fleet_state.targets.version
+            )
             try:
                 changes, complete = await self._call(table)
                 _check_not_stale(changes, newest_version)
@@ -183,14 +185,14 @@
                 continue
             await handle_rows(changes, complete, began_ms)
             self._positions[table] = changes.version
-            self._knowledge.tell()
+            self._fleet_state.notify()
             spent_s = (now_ms() - began_ms) / 1e3
             await asyncio.sleep(max(0.0, POLL_INTERVAL_S - spent_s))
 
     async def _may_apply(self, table: Table, changes: Changes) -> bool:
         if table is Table.TARGETS and self._targets_are_unconfirmed():
             await self._check_outage_scope()
-            if self._knowledge.targets.version > changes.version:
+            if self._fleet_state.targets.version > changes.version:
                 # Peers hold a newer list; the next call returns what this one lacks.
                 return False
         self._newest_version = max(self._newest_version, changes.version)
@@ -206,11 +208,13 @@
             began_ms = now_ms()
             if (
                 table is Table.FLEET
-                and self._knowledge.view.age_ms(began_ms) < OWN_READ_MS
+                and self._fleet_state.view.age_ms(began_ms) < OWN_READ_MS
             ):
                 # A host that starts has just read this table.
                 continue
-            newest_version = max(self._newest_version, self._knowledge.targets.version)
+            newest_version = max(
+                self._newest_version, self._fleet_state.targets.version
+            )
             try:
                 changes = await self._platform.read(table)
                 _check_not_stale(changes, newest_version)
@@ -224,7 +228,7 @@
                 return
             if await self._may_apply(table, changes):
                 await handle_rows(changes, True, began_ms)
-        self._knowledge.tell()
+        self._fleet_state.notify()
 
     async def _call(self, table: Table) -> tuple[Changes, bool]:
         position = self._positions.get(table)
@@ -241,7 +245,7 @@
             )
 
     def _targets_are_unconfirmed(self) -> bool:
-        targets = self._knowledge.targets
+        targets = self._fleet_state.targets
         return (
             targets.content is not None and targets.age_ms(now_ms()) > OUTAGE_AFTER_MS
         )
@@ -251,7 +255,7 @@
         # expired entries; kept, they would get work ten seconds after they left.
         await self.query_peers()
         if self._targets_are_unconfirmed():
-            self._knowledge.store_regained_at_ms = now_ms()
+            self._fleet_state.store_regained_at_ms = now_ms()
             log_state_change(self._log, "the store was away from the whole fleet")
             return
         self._adopt_targets_in_force()
@@ -261,9 +265,9 @@
         self, changes: Changes, complete: bool, began_ms: float
     ) -> None:
         value = self._platform.configuration(changes.rows)
-        state = self._knowledge.configuration
+        state = self._fleet_state.configuration
         if value is not None:
-            self._knowledge.take_configuration(value, began_ms)
+            self._fleet_state.update_configuration(value, began_ms)
         elif state.content is not None and not complete:
             state.confirm(state.version, began_ms)
 
@@ -277,7 +281,7 @@
         if complete:
             self._missing |= self._targets.keys() - seen
         self._drop_missing()
-        self._knowledge.take_targets(
+        self._fleet_state.update_targets(
             list(self._targets.values()), changes.version, began_ms
         )
 
@@ -297,7 +301,7 @@
     def _drop_missing(self) -> None:
         # Entries of running targets expire during a store outage. Dropping them at its
         # end would leave a service without targets for two seconds.
-        kept_until_ms = self._knowledge.store_regained_at_ms + RENEWAL_GRACE_MS
+        kept_until_ms = self._fleet_state.store_regained_at_ms + RENEWAL_GRACE_MS
         if now_ms() < kept_until_ms:
             return
         for key in self._missing:
@@ -312,7 +316,7 @@
                 continue
             if row.key == VIEW_KEY:
                 self.view_row_version = row.version
-                self._knowledge.take_view(
+                self._fleet_state.update_view(
                     unpacked_view(json.loads(row.value)), began_ms
                 )
             elif row.key.startswith(HOST_PREFIX):
@@ -322,8 +326,8 @@
             elif row.key.startswith(CRASH_PREFIX):
                 record = unpacked_record(json.loads(row.value))
                 self._written_crashes[record.content] = record
-                self._knowledge.take_crashes([record])
-        state = self._knowledge.view
+                self._fleet_state.merge_crashes([record])
+        state = self._fleet_state.view
         state.confirm(state.version, began_ms)
 
     async def write_view(self, view: View) -> bool:
@@ -334,12 +338,12 @@
         if version is None:
             return False
         self.view_row_version = version
-        self._knowledge.take_view(view, began_ms)
+        self._fleet_state.update_view(view, began_ms)
         return True
 
     async def write_crashes(self) -> None:
         """Write the crash records that the store does not hold yet."""
-        for record in self._knowledge.crashes.shared():
+        for record in self._fleet_state.crashes.shared():
             if self._written_crashes.get(record.content) != record:
                 value = json.dumps(packed_record(record)).encode()
                 await self._platform.put(CRASH_PREFIX + record.content, value, None)
--- a/src/crocusspindle/gateway/ports.py
+++ b/src/crocusspindle/gateway/ports.py
@@ -12,7 +12,7 @@
 from crocusspindle.gateway.caller_port import CallerServer
 from crocusspindle.gateway.dialect import Dialect
 from crocusspindle.gateway.entry import Entry
-from crocusspindle.gateway.knowledge import Knowledge
+from crocusspindle.gateway.fleet_state import FleetState
 from crocusspindle.gateway.line_log import LineHandler
 from crocusspindle.gateway.membership import Membership
 from crocusspindle.gateway.reload import LiveBounds
@@ -53,7 +53,7 @@
         self,
         settings: GatewaySettings,
         dialect: Dialect,
-        knowledge: Knowledge,
+        fleet_state: FleetState,
         membership: Membership,
         entry: Entry,
         metrics: Metrics,
@@ -64,7 +64,7 @@
         self._lines = lines
         self._settings = settings
         self._dialect = dialect
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._membership = membership
         self._entry = entry
         self._metrics = metrics
@@ -89,16 +89,16 @@
         self._membership.is_ready = self._is_ready
 
     def _limits(self) -> CallerLimits:
-        configuration = self._knowledge.configuration.content
+        configuration = self._fleet_state.configuration.content
         return CallerLimits() if configuration is None else configuration.limits
 
     def _is_ready(self) -> bool:
-        age_ms = self._knowledge.configuration.age_ms(now_ms())
+        age_ms = self._fleet_state.configuration.age_ms(now_ms())
         return (
             not self._membership.leaving
-            and self._knowledge.configuration.content is not None
-            and self._knowledge.targets.content is not None
-            and self._knowledge.view.content is not None
+            and self._fleet_state.configuration.content is not None
+            and self._fleet_state.targets.content is not None
+            and self._fleet_state.view.content is not None
             and age_ms < self._bounds.now.revocation_ms - READY_MARGIN_MS
         )
 
@@ -115,11 +115,11 @@
         if not addresses:
             return web.Response(status=503)
         valid_s = min(WHERE_VALID_S, self._bounds.now.where_valid_ms / 1e3)
-        body = self._dialect.where_answer(addresses, valid_s)
+        body = self._dialect.where_response(addresses, valid_s)
         return web.Response(body=body, content_type="application/json")
 
     def _addresses(self, domain: str) -> list[str]:
-        open_nodes = self._knowledge.open_nodes
+        open_nodes = self._fleet_state.open_nodes
         local = [
             address for address, node_domain in open_nodes if node_domain == domain
         ]
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -14,7 +14,7 @@
 from crocusspindle.core.quota_reserve import QuotaReserve
 from crocusspindle.core.view import NodeAddress, ViewEntry, ViewEntryKey
 from crocusspindle.gateway.exchange import Address, Exchange
-from crocusspindle.gateway.knowledge import Knowledge
+from crocusspindle.gateway.fleet_state import FleetState
 from crocusspindle.gateway.messages import (
     NotMineAnswer,
     RefusedAnswer,
@@ -53,13 +53,13 @@
         node: NodeAddress,
         bounds: LiveBounds,
         exchange: Exchange,
-        knowledge: Knowledge,
+        fleet_state: FleetState,
         began_ms: float,
     ) -> None:
         self._node = node
         self._bounds = bounds
         self._exchange = exchange
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._keeper = QuotaKeeper(
             node.host,
             node.incarnation,
@@ -78,18 +78,18 @@
         """Register the message handlers."""
         self._exchange.handle(SpendAsk, self._spend_ask)
         self._exchange.handle(ReleaseAsk, self._release_ask)
-        self._knowledge.listen(self._apply_fleet_state)
+        self._fleet_state.add_listener(self._apply_fleet_state)
 
     def expired_keys(self) -> set[ViewEntryKey]:
         """Return entries of previous members whose confirmations have expired."""
         return self._keeper.expired_keys(now_ms())
 
     def _apply_fleet_state(self) -> None:
-        view = self._knowledge.view
+        view = self._fleet_state.view
         if view.content is not None:
             self._keeper.set_view(view.content, view.confirmed_at_ms, now_ms())
-        if self._knowledge.configuration.version != self._configuration_version:
-            configuration = self._knowledge.configuration.content
+        if self._fleet_state.configuration.version != self._configuration_version:
+            configuration = self._fleet_state.configuration.content
             assert configuration is not None
             self._configuration_version = configuration.version
             self._keeper.set_rules(configuration.customers)
@@ -121,7 +121,7 @@
         await asyncio.wait((task,))
 
     async def _request_releases(self, customer: CustomerId) -> None:
-        view = self._knowledge.view.content
+        view = self._fleet_state.view.content
         if view is None:
             return
         pending = self._keeper.pending_releases(customer, now_ms())
@@ -133,7 +133,7 @@
         self, customer: CustomerId, entry: ViewEntry, view_number: int
     ) -> None:
         to = (entry.node.ip, entry.node.peer_port)
-        reply = await self._exchange.ask(
+        reply = await self._exchange.request(
             to, ReleaseAsk(customer, view_number), RELEASE_TIMEOUT_S, RELEASE_TIMEOUT_S
         )
         if not isinstance(reply, ReleaseAnswer):
@@ -163,7 +163,7 @@
         """
         if rule.rate_per_s <= 0:
             return Admitted(0.0)
-        startup_end_ms = self._knowledge.born_ms + STARTUP_PERIOD_MS
+        startup_end_ms = self._fleet_state.started_ms + STARTUP_PERIOD_MS
         wait_until_ms = min(wait_until_ms, startup_end_ms)
         attempt = 0
         while attempt < MIN_ATTEMPTS or now_ms() < wait_until_ms:
@@ -177,7 +177,7 @@
             # fleet that was down retry at once.
             limit_ms = max(wait_limit_ms, wait_until_ms - now_ms())
             message = SpendAsk(rule.customer, round(limit_ms))
-            reply = await self._exchange.ask(
+            reply = await self._exchange.request(
                 to, message, REPLY_TIMEOUT_S, 2 * REPLY_TIMEOUT_S
             )
             if isinstance(reply, SpendAnswer):
@@ -192,14 +192,14 @@
         slack = (
             rule.rate_per_s * window_s + rule.burst
         ) * bounds.quota_overshoot + bounds.quota_slack
-        view = self._knowledge.view.content
+        view = self._fleet_state.view.content
         if self._reserve.spend(rule.customer, slack, view, now_ms()):
             return Admitted(0.0)
         return NotKept()
 
     def keeper_of(self, rule: CustomerRule) -> HostId | None:
         """Return the member that keeps a customer's quota in the view in force."""
-        view = self._knowledge.view.content
+        view = self._fleet_state.view.content
         if view is None:
             return None
         host = self._keepers.get(rule.customer)
@@ -209,7 +209,7 @@
         return host
 
     def _keeper_address(self, rule: CustomerRule) -> Address | None:
-        view, host = self._knowledge.view.content, self.keeper_of(rule)
+        view, host = self._fleet_state.view.content, self.keeper_of(rule)
         if view is None or host is None:
             return None
         node = view.by_host[host].node
--- a/src/crocusspindle/gateway/registration.py
+++ b/src/crocusspindle/gateway/registration.py
@@ -8,8 +8,8 @@
 from crocusspindle.core.backoff import Backoff
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.errors import PlatformError
-from crocusspindle.gateway.knowledge import Knowledge
-from crocusspindle.gateway.reading import Reading
+from crocusspindle.gateway.fleet_state import FleetState
+from crocusspindle.gateway.platform_reader import PlatformReader
 from crocusspindle.log_lines import Logger, log_state_change
 
 REGISTER_RETRY_MS: Final = 500.0
@@ -27,14 +27,14 @@
     def __init__(
         self,
         node: NodeAddress,
-        knowledge: Knowledge,
-        reading: Reading,
+        fleet_state: FleetState,
+        platform_reader: PlatformReader,
         rng: random.Random,
         spawn: Callable[[Coroutine[Any, Any, None]], object],
     ) -> None:
         self._node = node
-        self._knowledge = knowledge
-        self._reading = reading
+        self._fleet_state = fleet_state
+        self._platform_reader = platform_reader
         self._rng = rng
         self._spawn = spawn
         self._log = Logger("membership")
@@ -45,9 +45,9 @@
         registered = False
         while True:
             try:
-                if self._knowledge.view.content is None:
-                    await self._reading.read_fleet()
-                if self._knowledge.view.content is not None:
+                if self._fleet_state.view.content is None:
+                    await self._platform_reader.read_fleet()
+                if self._fleet_state.view.content is not None:
                     # A restarted fleet has more rows to write than the store accepts
                     # in a second, and none of them is needed to find a reader.
                     if not registered:
@@ -55,7 +55,7 @@
                     return
                 if registered:
                     return
-                await self._reading.register(self._node)
+                await self._platform_reader.register(self._node)
                 registered = True
             except PlatformError as error:
                 log_state_change(self._log, "cannot register", error=str(error))
@@ -65,7 +65,7 @@
         backoff = Backoff(REGISTER_MAX_MS, REGISTER_LATER_MAX_MS, self._rng)
         while True:
             try:
-                return await self._reading.register(self._node)
+                return await self._platform_reader.register(self._node)
             except PlatformError as error:
                 log_state_change(self._log, "cannot register", error=str(error))
                 await asyncio.sleep(backoff.next_ms() / 1e3)
--- a/src/crocusspindle/gateway/repeat_sharing.py
+++ b/src/crocusspindle/gateway/retry_sharing.py
@@ -19,7 +19,7 @@
 MIN_LOG_INTERVAL_MS: Final = 1_000.0
 
 
-class RepeatSharing:
+class RetrySharing:
     """Hold the retry budgets and exchange their counts with other placers."""
 
     def __init__(
@@ -45,13 +45,13 @@
             self._budgets[service] = budget
         return budget
 
-    def take_ranks(self) -> None:
+    def update_ranks(self) -> None:
         """Apply new ranks and publish the counts, with which a successor continues."""
         for service, budget in self._budgets.items():
             budget.set_rank(self._ranks.own_rank(service), now_ms())
             self._publish(service, budget)
 
-    def tell_if_due(self, service: ServiceId) -> None:
+    def publish_if_due(self, service: ServiceId) -> None:
         """Publish the counts to the other placers if they are due."""
         budget = self.budget(service)
         if budget.is_publish_due(now_ms()):
--- a/src/crocusspindle/gateway/settings.py
+++ b/src/crocusspindle/gateway/settings.py
@@ -10,13 +10,13 @@
 """Fraction of the time limit of a key withdrawal after which requests with a key need
 not be served any more, so that a quota keeper which stops then affects no caller."""
 
-HUNDREDTHS: Final = 100.0
+UNITS_PER_CORE: Final = 100.0
 """Units of host capacity per processor core."""
 
 BYTES_PER_MS: Final = 125.0
 """Bytes per millisecond of a link of one Mbit/s."""
 
-CONTENTS_LINK_PART: Final = 0.25
+DOCUMENTS_LINK_FRACTION: Final = 0.25
 """Fraction of a host's link for documents to other nodes; the rest is for callers, who
 connect at the same time."""
 
@@ -65,9 +65,9 @@
     @property
     def capacity(self) -> int:
         """Return the capacity of the host in the units of `NodeAddress`."""
-        return max(1, round(min(self.link_mbit_s, self.cores * HUNDREDTHS)))
+        return max(1, round(min(self.link_mbit_s, self.cores * UNITS_PER_CORE)))
 
     @property
     def document_bytes_per_ms(self) -> float:
         """Return the rate limit for documents sent to other nodes."""
-        return self.link_mbit_s * BYTES_PER_MS * CONTENTS_LINK_PART
+        return self.link_mbit_s * BYTES_PER_MS * DOCUMENTS_LINK_FRACTION
--- a/src/crocusspindle/gateway/view_keeper.py
+++ b/src/crocusspindle/gateway/view_keeper.py
@@ -15,9 +15,9 @@
     rank_by_capacity,
 )
 from crocusspindle.gateway.exchange import Exchange
-from crocusspindle.gateway.knowledge import Knowledge
+from crocusspindle.gateway.fleet_state import FleetState
 from crocusspindle.gateway.messages import Done, Probe
-from crocusspindle.gateway.reading import Reading
+from crocusspindle.gateway.platform_reader import PlatformReader
 from crocusspindle.ids import HostId
 
 SETTLE_MS: Final = 250.0
@@ -53,28 +53,28 @@
         self,
         node: NodeAddress,
         exchange: Exchange,
-        knowledge: Knowledge,
-        reading: Reading,
+        fleet_state: FleetState,
+        platform_reader: PlatformReader,
         expired_keys: Callable[[], set[ViewEntryKey]],
     ) -> None:
         self._node = node
         self._exchange = exchange
-        self._knowledge = knowledge
-        self._reading = reading
+        self._fleet_state = fleet_state
+        self._platform_reader = platform_reader
         self._expired_keys = expired_keys
         self._last_number = -1
         self._changed_at_ms = now_ms()
 
     def record_view_change(self) -> None:
         """Record when the view last changed."""
-        if self._knowledge.view.version != self._last_number:
-            self._last_number = self._knowledge.view.version
+        if self._fleet_state.view.version != self._last_number:
+            self._last_number = self._fleet_state.view.version
             self._changed_at_ms = now_ms()
 
     async def renew(self, pinged: Present) -> None:
         """Write a view of the nodes that are present, given those with recent pings."""
-        age_ms = now_ms() - self._reading.active_since_ms
-        view_state = self._knowledge.view
+        age_ms = now_ms() - self._platform_reader.active_since_ms
+        view_state = self._fleet_state.view
         if age_ms < SETTLE_MS or view_state.age_ms(now_ms()) > STALE_STATE_MS:
             return
         present = {**self._unlisted_nodes(), **pinged}
@@ -92,19 +92,19 @@
             present = {**silent, **present}
         if not members_changed(view, present):
             return
-        if await self._reading.write_view(
+        if await self._platform_reader.write_view(
             next_view(view, present, self._expired_keys())
         ):
-            self._knowledge.tell()
+            self._fleet_state.notify()
 
     def _unlisted_nodes(self) -> dict[HostId, NodeAddress]:
         # Nodes whose rows are newer than the view. Added one by one as they ping, a
         # starting fleet would need a view for each late node, each sent to all.
-        written = self._reading.view_row_version
+        written = self._platform_reader.view_row_version
         return {
             host: node
-            for host, node in self._reading.nodes.items()
-            if self._reading.row_versions[host] > written
+            for host, node in self._platform_reader.nodes.items()
+            if self._platform_reader.row_versions[host] > written
         }
 
     def _is_writer(self, view: View | None, present: Present) -> bool:
@@ -143,7 +143,7 @@
 
     async def _probe(self, node: NodeAddress) -> bool:
         to = (node.ip, node.peer_port)
-        response = await self._exchange.ask(
+        response = await self._exchange.request(
             to, Probe(node.incarnation), PEER_SILENT_S, PEER_LIMIT_S
         )
         return isinstance(response, Done)
--- a/src/crocusspindle/platform/dialect.py
+++ b/src/crocusspindle/platform/dialect.py
@@ -27,7 +27,7 @@
         where_path=WHERE_PATH,
         target_limit_per_s=_target_limit_per_s,
         caller_domain=_caller_domain,
-        where_answer=_where_answer,
+        where_response=_where_answer,
     )
 
 
--- a/src/crocusspindle_standins/virtual/fleet.py
+++ b/src/crocusspindle_standins/virtual/fleet.py
@@ -14,14 +14,14 @@
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.exchange import Exchange
-from crocusspindle.gateway.knowledge import Knowledge
+from crocusspindle.gateway.fleet_state import FleetState
 from crocusspindle.gateway.membership import Membership
 from crocusspindle.gateway.placer_ranks import PlacerRanks
-from crocusspindle.gateway.reading import Reading
+from crocusspindle.gateway.platform_reader import PlatformReader
 from crocusspindle.gateway.settings import (
     BYTES_PER_MS,
-    CONTENTS_LINK_PART,
-    HUNDREDTHS,
+    DOCUMENTS_LINK_FRACTION,
+    UNITS_PER_CORE,
 )
 from crocusspindle.ids import DomainId, HostId, Incarnation, ServiceId
 from crocusspindle.metrics import Metrics
@@ -51,7 +51,7 @@
     @property
     def capacity(self) -> int:
         """Return the capacity that the host reports."""
-        return round(min(self.link_mbit_s, self.cores * HUNDREDTHS))
+        return round(min(self.link_mbit_s, self.cores * UNITS_PER_CORE))
 
 
 class Node:
@@ -68,27 +68,27 @@
         platform = StoreClient(store, address.host)
         metrics = Metrics(address.host, address.domain)
         self.exchange = Exchange((address.ip, address.peer_port), rng, metrics)
-        self.knowledge = Knowledge(platform.parse_configuration)
-        self.reading = Reading(platform, self.knowledge)
-        self.crashes = CrashSharing(self.exchange, self.knowledge, metrics)
-        self.ranks = PlacerRanks(address, self.exchange, self.knowledge)
+        self.fleet_state = FleetState(platform.parse_configuration)
+        self.platform_reader = PlatformReader(platform, self.fleet_state)
+        self.crashes = CrashSharing(self.exchange, self.fleet_state, metrics)
+        self.ranks = PlacerRanks(address, self.exchange, self.fleet_state)
         self.membership = Membership(
             address,
             self.exchange,
-            self.knowledge,
-            self.reading,
+            self.fleet_state,
+            self.platform_reader,
             set,
             ReaderChoice(address.host, rng),
-            ByteRateLimiter(size.link_mbit_s * BYTES_PER_MS * CONTENTS_LINK_PART),
+            ByteRateLimiter(size.link_mbit_s * BYTES_PER_MS * DOCUMENTS_LINK_FRACTION),
             rng,
         )
-        self.membership.is_ready = lambda: self.knowledge.view.content is not None
+        self.membership.is_ready = lambda: self.fleet_state.view.content is not None
 
     async def start(self) -> None:
         """Start the services in order of dependency."""
         for service in (
             self.exchange,
-            self.reading,
+            self.platform_reader,
             self.membership,
             self.crashes,
         ):
@@ -100,7 +100,7 @@
         for service in (
             self.crashes,
             self.membership,
-            self.reading,
+            self.platform_reader,
             self.exchange,
         ):
             await service.cancel_tasks()
@@ -196,7 +196,7 @@
 
     def views(self) -> Counter[int]:
         """Return how many nodes have each view version in force."""
-        return Counter(node.knowledge.view.version for node in self.nodes.values())
+        return Counter(node.fleet_state.view.version for node in self.nodes.values())
 
     def named(self) -> int:
         """Return how many running processes the store's view lists."""
@@ -210,7 +210,9 @@
 
     def readers(self) -> list[str]:
         """Return the hosts that are reading the store."""
-        return [name for name, node in self.nodes.items() if node.reading.active]
+        return [
+            name for name, node in self.nodes.items() if node.platform_reader.active
+        ]
 
     def sent(self) -> int:
         """Return how many datagrams were sent."""
--- a/tests/gateway/test_crashes_known.py
+++ b/tests/gateway/test_crash_sharing.py
@@ -40,10 +40,10 @@
 
 def report_two_crashes(node):
     """Report two crashes of targets that ran only the request to a host's placer."""
-    watch = CrashWatch(node.knowledge.crashes)
+    watch = CrashWatch(node.fleet_state.crashes)
     for target in ("t0", "t1"):
         watch.ended(TargetIdentity(target), CONTENT, [], AttemptOutcome.CRASHED, 0.0)
-    node.crashes.take(ServiceId("service-0"), node.ranks, watch)
+    node.crashes.record_crashes(ServiceId("service-0"), node.ranks, watch)
 
 
 def quarantining_hosts(fleet):
--- a/tests/gateway/test_updates.py
+++ b/tests/gateway/test_document_deltas.py
@@ -3,7 +3,11 @@
 import msgpack
 import pytest
 
-from crocusspindle.gateway.updates import ENCODINGS_KEPT, NO_BASE, DocumentEncodings
+from crocusspindle.gateway.document_deltas import (
+    ENCODINGS_KEPT,
+    NO_BASE,
+    DocumentEncodings,
+)
 
 
 def members(count: int) -> list[list[object]]:
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -63,7 +63,7 @@
         return SpendAnswer(1.0)
 
     server.handle(SpendAsk, spend)
-    response = await client.ask(address(server), SpendAsk("club", 10.0), 0.5, 0.5)
+    response = await client.request(address(server), SpendAsk("club", 10.0), 0.5, 0.5)
     assert response == SpendAnswer(1.0)
     assert len(handled) == 1
 
@@ -82,7 +82,7 @@
         return SpendAnswer(0.0)
 
     server.handle(SpendAsk, spend)
-    response = await client.ask(address(server), SpendAsk("club", 10.0), 0.09, 1.0)
+    response = await client.request(address(server), SpendAsk("club", 10.0), 0.09, 1.0)
     assert response == SpendAnswer(0.0)
     assert handled == [address(client)]
     assert client.sent > 1
@@ -93,7 +93,7 @@
     loop = asyncio.get_running_loop()
     began = loop.time()
     closed_port = ("127.0.0.1", free_ports(1)[0])
-    assert await client.ask(closed_port, SpendAsk("club", 10.0), 0.09, 5.0) is None
+    assert await client.request(closed_port, SpendAsk("club", 10.0), 0.09, 5.0) is None
     assert loop.time() - began < 0.5
 
 
@@ -101,7 +101,9 @@
     """A caller disconnects during a request; the response may hold a slot."""
     client, server = pair
     late = []
-    client.handle_late(SpendAnswer, lambda content, sender: late.append(sender))
+    client.handle_late_response(
+        SpendAnswer, lambda content, sender: late.append(sender)
+    )
 
     async def spend(message, sender):
         await asyncio.sleep(0.05)
@@ -109,7 +111,7 @@
 
     server.handle(SpendAsk, spend)
     task = asyncio.create_task(
-        client.ask(address(server), SpendAsk("club", 10.0), 1.0, 1.0)
+        client.request(address(server), SpendAsk("club", 10.0), 1.0, 1.0)
     )
     await asyncio.sleep(0.01)
     task.cancel()
@@ -127,7 +129,7 @@
         return NotMineAnswer()
 
     server.handle(SpendAsk, spend)
-    response = await client.ask(address(server), SpendAsk("club", 10.0), 0.5, 0.5)
+    response = await client.request(address(server), SpendAsk("club", 10.0), 0.5, 0.5)
     assert response == NotMineAnswer()
 
 
@@ -149,7 +151,7 @@
         return Hello(("x" * 5_000,))
 
     server.handle(SpendAsk, respond)
-    await client.ask(address(server), SpendAsk("club", 10.0), 0.2, 0.3)
+    await client.request(address(server), SpendAsk("club", 10.0), 0.2, 0.3)
     lengths = server.lengths
     assert len(lengths) > 1
     assert sum(length > 5_000 for length in lengths) == 1
--- a/tests/gateway/test_fleet_settles.py
+++ b/tests/gateway/test_fleet_convergence.py
@@ -137,7 +137,7 @@
             await asyncio.sleep(0.5)
         assert fleet.store.calls.total() - calls <= CALLS_PER_S * 10.0
         await asyncio.sleep(1.0)
-        digests = {node.knowledge.targets_digest for node in fleet.nodes.values()}
+        digests = {node.fleet_state.targets_digest for node in fleet.nodes.values()}
         assert len(digests) == 1
 
     run_scenario([SMALL] * 150, scenario, targets=900)
@@ -152,7 +152,7 @@
         calls = fleet.store.calls.total()
         fleet.configure(routes=1_500)
         await asyncio.sleep(CHANGE_APPLIED_S)
-        versions = {n.knowledge.configuration.version for n in fleet.nodes.values()}
+        versions = {n.fleet_state.configuration.version for n in fleet.nodes.values()}
         assert len(versions) == 1
         await asyncio.sleep(3.0)
         await assert_converged(fleet, 2.0)
@@ -200,7 +200,7 @@
         await restart_all(fleet)
         await asyncio.sleep(CONFIGURED_S)
         configurations = [
-            n.knowledge.configuration.content for n in fleet.nodes.values()
+            n.fleet_state.configuration.content for n in fleet.nodes.values()
         ]
         assert None not in configurations
         await asyncio.sleep(2.0 - CONFIGURED_S)
@@ -225,7 +225,7 @@
         await restart_all(fleet)
         await asyncio.sleep(CONFIGURED_S)
         configurations = [
-            n.knowledge.configuration.content for n in fleet.nodes.values()
+            n.fleet_state.configuration.content for n in fleet.nodes.values()
         ]
         assert None not in configurations
         await asyncio.sleep(2.0 - CONFIGURED_S)
@@ -247,7 +247,7 @@
         fleet.store.call_s = 0.01
         await asyncio.sleep(READY_AFTER_S - 2.0)
         for node in fleet.nodes.values():
-            assert len(node.knowledge.open_nodes) == hosts
+            assert len(node.fleet_state.open_nodes) == hosts
         assert len(fleet.readers()) <= 1
 
     run_scenario([LARGE] * hosts, scenario)
@@ -272,9 +272,9 @@
         fleet.rejoin(name)
         await asyncio.sleep(5.0)
         assert fleet.named() == len(fleet.nodes)
-        open_lists = {node.knowledge.open_digest for node in fleet.nodes.values()}
+        open_lists = {node.fleet_state.open_digest for node in fleet.nodes.values()}
         assert len(open_lists) == 1
-        addresses = {address for address, _ in fleet.nodes[name].knowledge.open_nodes}
+        addresses = {address for address, _ in fleet.nodes[name].fleet_state.open_nodes}
         assert fleet.nodes[name].address.caller_address in addresses
         assert len(fleet.readers()) <= READERS
 
@@ -336,7 +336,7 @@
             await fleet.start(name)
         await asyncio.sleep(REPLACED_S)
         configurations = [
-            n.knowledge.configuration.content for n in fleet.nodes.values()
+            n.fleet_state.configuration.content for n in fleet.nodes.values()
         ]
         assert None not in configurations
         assert fleet.named() == len(fleet.nodes)
--- a/tests/gateway/test_knowledge.py
+++ b/tests/gateway/test_fleet_state.py
@@ -5,7 +5,7 @@
 from crocusspindle.clock import now_ms
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
 from crocusspindle.core.view import NodeAddress, View, ViewEntry
-from crocusspindle.gateway.knowledge import HeldKeys, Knowledge
+from crocusspindle.gateway.fleet_state import FleetState, HeldKeys
 from crocusspindle.gateway.messages import State, pack, packed, unpack, unpacked
 from crocusspindle.ids import DomainId, HostId, Incarnation, ServiceId
 from crocusspindle.platform.documents import parse_configuration
@@ -41,16 +41,16 @@
     return arrived
 
 
-def state_for(sender: Knowledge, node: Knowledge) -> State:
+def state_for(sender: FleetState, node: FleetState) -> State:
     return decoded_copy(sender.state_for(node.held_keys()))
 
 
-def make_fleet_state() -> Knowledge:
-    knowledge = Knowledge(parse_configuration)
-    knowledge.take_targets([target(n) for n in range(5)], 7, now_ms())
-    knowledge.take_view(View(3, tuple(view_entry(n) for n in range(5))), now_ms())
-    knowledge.take_open_nodes([("127.0.0.1:80", "a")])
-    return knowledge
+def make_fleet_state() -> FleetState:
+    fleet_state = FleetState(parse_configuration)
+    fleet_state.update_targets([target(n) for n in range(5)], 7, now_ms())
+    fleet_state.update_view(View(3, tuple(view_entry(n) for n in range(5))), now_ms())
+    fleet_state.update_open_nodes([("127.0.0.1:80", "a")])
+    return fleet_state
 
 
 def test_node_without_state_sends_no_documents():
@@ -59,23 +59,23 @@
     They hold no state yet. An empty document must not stop the querying process while
     no other node serves, nor may an empty list of targets replace its own.
     """
-    node, new_node = make_fleet_state(), Knowledge(parse_configuration)
-    assert node.take_state(state_for(new_node, node), now_ms())
+    node, new_node = make_fleet_state(), FleetState(parse_configuration)
+    assert node.apply_state(state_for(new_node, node), now_ms())
     assert len(node.targets.content) == 5
     assert node.open_nodes == [("127.0.0.1:80", "a")]
 
 
 def test_new_node_gets_full_documents_and_then_deltas():
-    reader, new_node = make_fleet_state(), Knowledge(parse_configuration)
+    reader, new_node = make_fleet_state(), FleetState(parse_configuration)
     full = state_for(reader, new_node)
-    assert new_node.take_state(full, now_ms())
+    assert new_node.apply_state(full, now_ms())
     assert new_node.targets.content == reader.targets.content
     assert new_node.view.content == reader.view.content
-    reader.take_view(View(4, tuple(view_entry(n) for n in range(4))), now_ms())
+    reader.update_view(View(4, tuple(view_entry(n) for n in range(4))), now_ms())
     change = state_for(reader, new_node)
     assert change.targets is None
     assert len(packed(pack(change))) < len(packed(pack(full))) / 2
-    assert new_node.take_state(change, now_ms())
+    assert new_node.apply_state(change, now_ms())
     assert new_node.view.content == reader.view.content
 
 
@@ -84,17 +84,17 @@
 
     A confirmation taken from it would let a quota keeper act on an outdated view.
     """
-    reader, node = make_fleet_state(), Knowledge(parse_configuration)
-    node.take_state(state_for(reader, node), now_ms())
+    reader, node = make_fleet_state(), FleetState(parse_configuration)
+    node.apply_state(state_for(reader, node), now_ms())
     confirmed_at_ms = node.view.confirmed_at_ms
-    reader.take_view(View(4, tuple(view_entry(n) for n in range(4))), now_ms())
+    reader.update_view(View(4, tuple(view_entry(n) for n in range(4))), now_ms())
     lost = reader.view.version
-    reader.take_view(View(5, tuple(view_entry(n) for n in range(3))), now_ms())
+    reader.update_view(View(5, tuple(view_entry(n) for n in range(3))), now_ms())
     held = HeldKeys(
         -1, reader.targets_digest, lost, reader.open_digest, reader.crash_digest
     )
     push = decoded_copy(reader.state_for(held))
-    assert not node.take_state(push, now_ms() + 50.0)
+    assert not node.apply_state(push, now_ms() + 50.0)
     assert node.view.version == 3
     assert node.view.confirmed_at_ms == confirmed_at_ms
 
@@ -110,10 +110,10 @@
     The reader holds one text and a node the other, so deltas from the reader do not
     apply. The node would keep serving old routes and withdrawn keys.
     """
-    reader, node = Knowledge(parse_configuration), Knowledge(parse_configuration)
-    node.take_configuration(configuration(5, "first text" * 9), now_ms())
-    reader.take_configuration(configuration(5, "another text" * 9), now_ms())
-    reader.take_configuration(configuration(6, "another text!" * 9), now_ms())
-    assert not node.take_state(state_for(reader, node), now_ms())
-    assert node.take_state(state_for(reader, node), now_ms())
+    reader, node = FleetState(parse_configuration), FleetState(parse_configuration)
+    node.update_configuration(configuration(5, "first text" * 9), now_ms())
+    reader.update_configuration(configuration(5, "another text" * 9), now_ms())
+    reader.update_configuration(configuration(6, "another text!" * 9), now_ms())
+    assert not node.apply_state(state_for(reader, node), now_ms())
+    assert node.apply_state(state_for(reader, node), now_ms())
     assert node.configuration.version == 6
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -10,10 +10,10 @@
 from crocusspindle.core.reader_choice import READER_ROLE, ReaderChoice
 from crocusspindle.core.rendezvous import order
 from crocusspindle.core.view import View
-from crocusspindle.gateway.knowledge import HeldKeys
+from crocusspindle.gateway.fleet_state import HeldKeys
 from crocusspindle.gateway.membership import Membership
 from crocusspindle.gateway.view_keeper import SETTLE_MS
-from tests.gateway.test_knowledge import (
+from tests.gateway.test_fleet_state import (
     decoded_copy,
     make_fleet_state,
     state_for,
@@ -27,18 +27,18 @@
     def __init__(self):
         self.messages = []
 
-    def tell(self, to, content):
+    def notify(self, to, content):
         self.messages.append(content)
 
 
-def membership_of(node, exchange, knowledge, reading) -> Membership:
+def membership_of(node, exchange, fleet_state, platform_reader) -> Membership:
     choice, document_limiter = (
         ReaderChoice(node.host, random.Random(1)),
         ByteRateLimiter(1e6),
     )
     rng = random.Random(1)
     return Membership(
-        node, exchange, knowledge, reading, set, choice, document_limiter, rng
+        node, exchange, fleet_state, platform_reader, set, choice, document_limiter, rng
     )
 
 
@@ -51,23 +51,25 @@
     """
     reader, other, exchange = make_fleet_state(), make_fleet_state(), FakeExchange()
     node, peer = view_entry(0).node, view_entry(1).node
-    reading = SimpleNamespace(active=True, is_store_lost=False)
-    membership = membership_of(node, exchange, reader, reading)
+    platform_reader = SimpleNamespace(active=True, is_store_lost=False)
+    membership = membership_of(node, exchange, reader, platform_reader)
     membership._add_known_node(peer)
     membership._last_ping_ms[peer.host] = now_ms()
     membership._push()
     assert len(exchange.messages) == 1
     for number in (4, 5):
-        other.take_view(View(number, tuple(view_entry(n) for n in range(3))), now_ms())
+        other.update_view(
+            View(number, tuple(view_entry(n) for n in range(3))), now_ms()
+        )
     update = decoded_copy(
         other.state_for(
             HeldKeys(-1, other.targets_digest, 4, other.open_digest, other.crash_digest)
         )
     )
-    assert not reader.take_state(update, now_ms())
+    assert not reader.apply_state(update, now_ms())
     membership._push()
     assert len(exchange.messages) == 1
-    assert reader.take_state(state_for(other, reader), now_ms())
+    assert reader.apply_state(state_for(other, reader), now_ms())
     membership._push()
     assert len(exchange.messages) == 2
 
@@ -79,13 +81,13 @@
     without end: 280,000 datagrams between failure domains in five seconds.
     """
     reader, other, exchange = make_fleet_state(), make_fleet_state(), FakeExchange()
-    reading = SimpleNamespace(active=True, is_store_lost=False)
-    membership = membership_of(view_entry(0).node, exchange, reader, reading)
-    reader.listen(membership._push)
+    platform_reader = SimpleNamespace(active=True, is_store_lost=False)
+    membership = membership_of(view_entry(0).node, exchange, reader, platform_reader)
+    reader.add_listener(membership._push)
     membership._add_known_node(view_entry(1).node)
     membership._last_ping_ms[view_entry(1).node.host] = now_ms()
     membership._push()
-    other.take_open_nodes([("127.0.0.1:81", "a")])
+    other.update_open_nodes([("127.0.0.1:81", "a")])
     await membership._state(state_for(other, reader), ("127.0.0.1", 7340))
     assert reader.open_nodes == [("127.0.0.1:81", "a")]
     assert len(exchange.messages) == 1
@@ -109,10 +111,10 @@
         written.append(view)
         return True
 
-    knowledge = make_fleet_state()
+    fleet_state = make_fleet_state()
     view = View(9, tuple(view_entry(n) for n in rest), (view_entry(returning),))
-    knowledge.take_view(view, now_ms())
-    reading = SimpleNamespace(
+    fleet_state.update_view(view, now_ms())
+    platform_reader = SimpleNamespace(
         active=True,
         is_store_lost=False,
         active_since_ms=now_ms() - 2 * SETTLE_MS,
@@ -122,7 +124,7 @@
         write_view=write_view,
     )
     writer = view_entry(rest[0]).node
-    membership = membership_of(writer, FakeExchange(), knowledge, reading)
+    membership = membership_of(writer, FakeExchange(), fleet_state, platform_reader)
     for number in (returning, rest[1]):
         membership._add_known_node(view_entry(number).node)
         membership._last_ping_ms[view_entry(number).node.host] = now_ms()
--- a/tests/gateway/test_reading.py
+++ b/tests/gateway/test_platform_reader.py
@@ -7,9 +7,9 @@
 
 from crocusspindle.clock import now_ms
 from crocusspindle.errors import PlatformUnavailableError
-from crocusspindle.gateway import reading as module
-from crocusspindle.gateway.knowledge import Knowledge
-from crocusspindle.gateway.reading import Reading, ReadReason
+from crocusspindle.gateway import platform_reader as module
+from crocusspindle.gateway.fleet_state import FleetState
+from crocusspindle.gateway.platform_reader import PlatformReader, ReadReason
 from crocusspindle.platform.documents import parse_configuration, parse_target
 from crocusspindle.platform.fleet_platform import (
     Changes,
@@ -85,28 +85,28 @@
         monkeypatch.setattr(module, name, value)
     monkeypatch.setattr(module, "RENEWAL_GRACE_MS", 300.0)
     store = Store()
-    knowledge = Knowledge(parse_configuration)
-    store.knowledge = knowledge
-    reading = Reading(store, knowledge)
-    await reading.start()
-    reading.request_reads(60_000.0, ReadReason.PINGED)
+    fleet_state = FleetState(parse_configuration)
+    store.fleet_state = fleet_state
+    platform_reader = PlatformReader(store, fleet_state)
+    await platform_reader.start()
+    platform_reader.request_reads(60_000.0, ReadReason.PINGED)
     await asyncio.sleep(0.1)
-    store.reading = reading
-    yield store, knowledge
-    await reading.cancel_tasks()
+    store.platform_reader = platform_reader
+    yield store, fleet_state
+    await platform_reader.cancel_tasks()
 
 
-def listed(knowledge) -> list[str]:
-    return [target.identity for target in knowledge.targets.content]
+def listed(fleet_state) -> list[str]:
+    return [target.identity for target in fleet_state.targets.content]
 
 
 async def test_removed_target_is_dropped_at_once(fixture):
-    store, knowledge = fixture
-    assert listed(knowledge) == ["t1", "t2"]
+    store, fleet_state = fixture
+    assert listed(fleet_state) == ["t1", "t2"]
     del store.rows["t2"]
     store.removed.append("t2")
     await asyncio.sleep(0.1)
-    assert listed(knowledge) == ["t1"]
+    assert listed(fleet_state) == ["t1"]
 
 
 async def test_entries_that_expire_during_an_outage_get_a_grace_period(fixture):
@@ -115,26 +115,26 @@
     Without a grace period the service would have no targets when the store is back.
     Targets that renew within the period stay listed; the others are dropped.
     """
-    store, knowledge = fixture
+    store, fleet_state = fixture
     store.unreachable = True
     await asyncio.sleep(0.3)
     expired, store.rows = store.rows, {}
     store.removed = list(expired)
     store.unreachable = False
     await asyncio.sleep(0.15)
-    assert listed(knowledge) == ["t1", "t2"]
+    assert listed(fleet_state) == ["t1", "t2"]
     store.rows["t1"] = expired["t1"]
     await asyncio.sleep(0.5)
-    assert listed(knowledge) == ["t1"]
+    assert listed(fleet_state) == ["t1"]
 
 
 async def test_lost_history_is_replaced_by_a_full_read(fixture):
     """A target leaves while the history is dropped, so no feed reports it."""
-    store, knowledge = fixture
+    store, fleet_state = fixture
     del store.rows["t1"]
     store.drops_history = True
     await asyncio.sleep(0.15)
-    assert listed(knowledge) == ["t2"]
+    assert listed(fleet_state) == ["t2"]
 
 
 async def test_reader_after_an_idle_period_drops_targets_that_left_meanwhile(fixture):
@@ -143,15 +143,15 @@
     A target left in between. An idle period is no outage: kept for a grace period of
     two seconds, the target would get work long after it left.
     """
-    store, knowledge = fixture
+    store, fleet_state = fixture
     await make_idle(store)
     del store.rows["t2"]
-    knowledge.take_targets(
+    fleet_state.update_targets(
         [parse_target("t1", store.rows["t1"])], store.version, now_ms()
     )
-    store.reading.request_reads(60_000.0, ReadReason.PINGED)
+    store.platform_reader.request_reads(60_000.0, ReadReason.PINGED)
     await asyncio.sleep(0.1)
-    assert listed(knowledge) == ["t1"]
+    assert listed(fleet_state) == ["t1"]
 
 
 async def test_entries_not_renewed_after_an_outage_are_dropped_without_a_new_version(
@@ -161,7 +161,7 @@
 
     The version of the list is the same at the end of the grace period.
     """
-    store, knowledge = fixture
+    store, fleet_state = fixture
     store.unreachable = True
     await asyncio.sleep(0.3)
     del store.rows["t2"]
@@ -169,9 +169,9 @@
     store.frozen = True
     store.unreachable = False
     await asyncio.sleep(0.1)
-    assert listed(knowledge) == ["t1", "t2"]
+    assert listed(fleet_state) == ["t1", "t2"]
     await asyncio.sleep(0.5)
-    assert listed(knowledge) == ["t1"]
+    assert listed(fleet_state) == ["t1"]
 
 
 async def test_reader_that_was_cut_off_restores_no_target(fixture):
@@ -181,19 +181,19 @@
     the store. Kept for two seconds and published, the target would get work from the
     whole fleet ten seconds after it left.
     """
-    store, knowledge = fixture
+    store, fleet_state = fixture
 
     async def apply_peers_list():
         peers = [parse_target("t1", store.rows["t1"])]
-        knowledge.take_targets(peers, store.version, now_ms())
+        fleet_state.update_targets(peers, store.version, now_ms())
 
-    store.reading.query_peers = apply_peers_list
+    store.platform_reader.query_peers = apply_peers_list
     store.unreachable = True
     await asyncio.sleep(0.3)
     del store.rows["t2"]
     store.removed.append("t2")
     lists = []
-    knowledge.listen(lambda: lists.append(listed(knowledge)))
+    fleet_state.add_listener(lambda: lists.append(listed(fleet_state)))
     store.unreachable = False
     await asyncio.sleep(0.2)
     after_peers = lists[lists.index(["t1"]) :]
@@ -206,35 +206,35 @@
     The list that it publishes still holds the expired entries. A reader that concluded
     that there was no outage would drop them all at its first read.
     """
-    store, knowledge = fixture
+    store, fleet_state = fixture
     store.unreachable = True
     await asyncio.sleep(0.3)
     expired, store.rows = store.rows, {}
     store.removed = list(expired)
 
     async def apply_first_readers_list():
-        in_force = knowledge.targets.content
-        knowledge.take_targets(in_force, store.version, now_ms())
-        knowledge.store_regained_at_ms = now_ms()
+        in_force = fleet_state.targets.content
+        fleet_state.update_targets(in_force, store.version, now_ms())
+        fleet_state.store_regained_at_ms = now_ms()
 
-    store.reading.query_peers = apply_first_readers_list
+    store.platform_reader.query_peers = apply_first_readers_list
     store.unreachable = False
     await asyncio.sleep(0.15)
-    assert listed(knowledge) == ["t1", "t2"]
+    assert listed(fleet_state) == ["t1", "t2"]
     await asyncio.sleep(0.5)
-    assert listed(knowledge) == []
+    assert listed(fleet_state) == []
 
 
 async def test_reader_without_the_store_reports_it(fixture):
     """Nodes that ping it switch to another reader before their state is stale."""
     store, _ = fixture
-    assert not store.reading.is_store_lost
+    assert not store.platform_reader.is_store_lost
     store.unreachable = True
     await asyncio.sleep(0.8)
-    assert store.reading.is_store_lost
+    assert store.platform_reader.is_store_lost
     store.unreachable = False
     await asyncio.sleep(0.1)
-    assert not store.reading.is_store_lost
+    assert not store.platform_reader.is_store_lost
 
 
 async def test_idle_node_does_not_report_the_store_as_lost(fixture):
@@ -242,16 +242,16 @@
     store, _ = fixture
     store.unreachable = True
     await asyncio.sleep(0.8)
-    assert store.reading.is_store_lost
+    assert store.platform_reader.is_store_lost
     await make_idle(store)
     await asyncio.sleep(0.1)
-    assert not store.reading.is_store_lost
+    assert not store.platform_reader.is_store_lost
 
 
 async def make_idle(store) -> None:
-    store.reading._requested_until_ms = 0.0
+    store.platform_reader._requested_until_ms = 0.0
     await asyncio.sleep(0.1)
-    assert not store.reading.active
+    assert not store.platform_reader.active
 
 
 async def test_read_of_old_state_is_ignored(fixture):
@@ -260,25 +260,25 @@
     A target that has since reported that it leaves would get work again, permanently,
     since it reports this only once.
     """
-    store, knowledge = fixture
+    store, fleet_state = fixture
     before = (dict(store.rows), store.version)
     del store.rows["t2"]
     store.removed.append("t2")
     await asyncio.sleep(0.1)
-    assert listed(knowledge) == ["t1"]
-    confirmed_at_ms = knowledge.targets.confirmed_at_ms
+    assert listed(fleet_state) == ["t1"]
+    confirmed_at_ms = fleet_state.targets.confirmed_at_ms
     store.old_state, store.drops_history = before, True
     await asyncio.sleep(0.15)
-    assert listed(knowledge) == ["t1"]
-    assert knowledge.targets.confirmed_at_ms - confirmed_at_ms < 100
+    assert listed(fleet_state) == ["t1"]
+    assert fleet_state.targets.confirmed_at_ms - confirmed_at_ms < 100
     store.old_state = None
     await asyncio.sleep(0.15)
-    assert listed(knowledge) == ["t1"]
-    assert knowledge.targets.confirmed_at_ms - confirmed_at_ms > 100
+    assert listed(fleet_state) == ["t1"]
+    assert fleet_state.targets.confirmed_at_ms - confirmed_at_ms > 100
 
 
 async def test_invalid_entry_lists_no_target(fixture):
-    store, knowledge = fixture
+    store, fleet_state = fixture
     store.rows["t2"] = b"\x00"
     await asyncio.sleep(0.1)
-    assert listed(knowledge) == ["t1"]
+    assert listed(fleet_state) == ["t1"]
--- a/tests/gateway/test_just_started.py
+++ b/tests/gateway/test_process_start.py
@@ -14,7 +14,7 @@
 from crocusspindle.core.view import View
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.exchange import Exchange
-from crocusspindle.gateway.knowledge import FIRST_READ_MS, Knowledge
+from crocusspindle.gateway.fleet_state import FIRST_READ_MS, FleetState
 from crocusspindle.gateway.messages import NotMineAnswer, PlaceAsk, SpendAnswer
 from crocusspindle.gateway.placers import Placers
 from crocusspindle.gateway.placing import Placement, Placing
@@ -24,7 +24,7 @@
 from crocusspindle.ids import CustomerId, DomainId, ServiceId
 from crocusspindle.metrics import Metrics
 from crocusspindle.platform.documents import parse_configuration
-from tests.gateway.test_knowledge import make_fleet_state, view_entry
+from tests.gateway.test_fleet_state import make_fleet_state, view_entry
 
 RULE = CustomerRule(CustomerId("club"), rate_per_s=10.0, burst=10.0)
 DOCUMENT = json.dumps({"version": "00000001", "routes": {}}).encode()
@@ -41,20 +41,20 @@
 )
 
 
-def placing_alone(knowledge):
+def placing_alone(fleet_state):
     """Build the placing service of a node that is the only member."""
     node = view_entry(0).node
     rng = random.Random(1)
     metrics = Metrics(node.host, node.domain)
     exchange = Exchange((node.ip, node.peer_port), rng, metrics)
-    crashes = CrashSharing(exchange, knowledge, metrics)
+    crashes = CrashSharing(exchange, fleet_state, metrics)
     bounds = LiveBounds(Bounds())
-    placers = Placers(node, bounds, exchange, knowledge, ALL_POLICIES, crashes)
+    placers = Placers(node, bounds, exchange, fleet_state, ALL_POLICIES, crashes)
     placing = Placing(exchange, placers, rng, crashes)
     exchange.handle(PlaceAsk, placers._place_ask)
-    knowledge.listen(placers._apply_fleet_state)
-    knowledge.take_view(View(1, (view_entry(0),)), now_ms())
-    knowledge.tell()
+    fleet_state.add_listener(placers._apply_fleet_state)
+    fleet_state.update_view(View(1, (view_entry(0),)), now_ms())
+    fleet_state.notify()
     return placing
 
 
@@ -78,7 +78,7 @@
         self._opens_after = opens_after
         self.limit_ms = math.nan
 
-    async def ask(self, to, message, *_):
+    async def request(self, to, message, *_):
         self.requests += 1
         self.limit_ms = message.wait_limit_ms
         return (
@@ -86,12 +86,12 @@
         )
 
 
-def quota(keeper_exchange: KeeperExchange, born_ms: float) -> Quota:
-    knowledge = make_fleet_state()
-    knowledge.born_ms = born_ms
-    knowledge.take_view(View(4, (view_entry(0), view_entry(1))), now_ms())
+def quota(keeper_exchange: KeeperExchange, started_ms: float) -> Quota:
+    fleet_state = make_fleet_state()
+    fleet_state.started_ms = started_ms
+    fleet_state.update_view(View(4, (view_entry(0), view_entry(1))), now_ms())
     bounds = LiveBounds(Bounds())
-    return Quota(view_entry(0).node, bounds, keeper_exchange, knowledge, now_ms())
+    return Quota(view_entry(0).node, bounds, keeper_exchange, fleet_state, now_ms())
 
 
 async def test_first_caller_waits_for_the_first_configuration():
@@ -100,20 +100,20 @@
     The configuration arrives a tenth of a second later. Without a wait, callers would
     be refused after the fault is over.
     """
-    knowledge = make_fleet_state()
-    pending = asyncio.create_task(knowledge.first_configuration())
+    fleet_state = make_fleet_state()
+    pending = asyncio.create_task(fleet_state.first_configuration())
     await asyncio.sleep(0.02)
     assert not pending.done()
-    knowledge.take_configuration(DOCUMENT, now_ms())
+    fleet_state.update_configuration(DOCUMENT, now_ms())
     found = await asyncio.wait_for(pending, 0.1)
     assert found is not None and found.version == 1
 
 
 async def test_wait_for_the_first_configuration_is_limited():
     """The platform is unreachable when a process starts, possibly for hours."""
-    knowledge = make_fleet_state()
-    knowledge.born_ms = now_ms() - FIRST_READ_MS
-    assert await asyncio.wait_for(knowledge.first_configuration(), 0.01) is None
+    fleet_state = make_fleet_state()
+    fleet_state.started_ms = now_ms() - FIRST_READ_MS
+    assert await asyncio.wait_for(fleet_state.first_configuration(), 0.01) is None
 
 
 async def test_callers_of_a_new_process_wait_for_the_next_quota_keeper():
@@ -143,20 +143,20 @@
 
 async def test_request_waits_for_the_first_list_of_targets():
     """Guards against a service that seems to have no targets right after a start."""
-    knowledge = Knowledge(parse_configuration)
-    placing = placing_alone(knowledge)
+    fleet_state = FleetState(parse_configuration)
+    placing = placing_alone(fleet_state)
     pending = asyncio.create_task(placing.place(SERVICE, make_request()))
     await asyncio.sleep(0.02)
     assert not pending.done()
-    knowledge.take_targets([TARGET], 1, now_ms())
+    fleet_state.update_targets([TARGET], 1, now_ms())
     place = await asyncio.wait_for(pending, 0.5)
     assert isinstance(place, Placement) and place.target == TARGET
 
 
 async def test_wait_for_the_first_list_of_targets_is_limited():
-    knowledge = Knowledge(parse_configuration)
-    knowledge.born_ms = now_ms() - FIRST_READ_MS
+    fleet_state = FleetState(parse_configuration)
+    fleet_state.started_ms = now_ms() - FIRST_READ_MS
     place = await asyncio.wait_for(
-        placing_alone(knowledge).place(SERVICE, make_request()), 0.1
+        placing_alone(fleet_state).place(SERVICE, make_request()), 0.1
     )
     assert isinstance(place, PlacementRefused) and place.reason == "no-target"
