--- a/benchmarks/fleet_start.py
+++ b/benchmarks/fleet_start.py
@@ -65,7 +65,7 @@
             known_s = loop.time() - began_s
         await asyncio.sleep(POLL_INTERVAL_S)
     hosts = large + small
-    calls, sent = fleet.store.calls.total(), fleet.sent()
+    calls, sent_datagrams = fleet.store.calls.total(), fleet.sent_datagrams()
     sent_bytes = fleet.sent_bytes()
     busiest = max(link.sent_bytes for link in fleet.network.links.values())
     await asyncio.sleep(STARTED_S)
@@ -75,11 +75,11 @@
         known_s,
         max(fleet.views()),
         calls,
-        sent / hosts,
+        sent_datagrams / hosts,
         sent_bytes / 1e6,
         busiest / 1e3,
         (fleet.store.calls.total() - calls) / STARTED_S,
-        (fleet.sent() - sent) / hosts / STARTED_S,
+        (fleet.sent_datagrams() - sent_datagrams) / hosts / STARTED_S,
         (fleet.sent_bytes() - sent_bytes) / hosts / STARTED_S,
     )
 
--- a/src/crocusspindle_standins/callers.py
+++ b/src/crocusspindle_standins/callers.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Sent:
+class RequestRecord:
     """Record one request: its start, its end and its result.
 
     Times are seconds of the caller's monotonic clock.
@@ -86,7 +86,7 @@
     session: aiohttp.ClientSession
     addresses: Addresses
     generator: random.Random
-    records: list[Sent] = field(default_factory=list)
+    records: list[RequestRecord] = field(default_factory=list)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _number: int = 0
 
@@ -139,7 +139,7 @@
             # ended without a response and may have run.
             verdict = Verdict.UNKNOWN
         self.records.append(
-            Sent(
+            RequestRecord(
                 request=request,
                 customer=self.plan.customer,
                 key=self.plan.key,
@@ -227,8 +227,11 @@
         return self.addresses.current or self.addresses.initial
 
 
-def most_over_rate(
-    records: list[Sent], executed: Collection[str], rate_per_s: float, burst: int
+def max_excess_requests(
+    records: list[RequestRecord],
+    executed: Collection[str],
+    rate_per_s: float,
+    burst: int,
 ) -> float:
     """Return the largest number of requests by which a customer exceeded its bound.
 
--- a/src/crocusspindle_standins/demo.py
+++ b/src/crocusspindle_standins/demo.py
@@ -22,13 +22,13 @@
 from crocusspindle_standins.callers import (
     Addresses,
     Caller,
-    Sent,
+    RequestRecord,
     Verdict,
-    most_over_rate,
+    max_excess_requests,
 )
-from crocusspindle_standins.calling import calling_session
 from crocusspindle_standins.deployments import DEPLOYMENTS, ECHO, Deployment
 from crocusspindle_standins.fleet import Fleet, sha256
+from crocusspindle_standins.single_attempt import single_attempt_session
 
 SEED: Final = 20261202
 SHARES_OPEN_TIMEOUT_S: Final = 30.0
@@ -89,7 +89,9 @@
     async def run(self) -> dict[str, Any]:
         """Run all steps and return the measured values."""
         await self._set_up()
-        async with calling_session(connector=aiohttp.TCPConnector(limit=0)) as session:
+        async with single_attempt_session(
+            connector=aiohttp.TCPConnector(limit=0)
+        ) as session:
             await self._compare_latencies(session)
             await self._load(session)
         return await self._report()
@@ -283,27 +285,29 @@
             4,
         )
 
-    def _within_rate(self, records: Sequence[Sent]) -> int:
+    def _within_rate(self, records: Sequence[RequestRecord]) -> int:
         names = {caller.plan.customer for caller in self._callers_within_rate()}
         return sum(
             r.verdict is Verdict.OVER_RATE and r.customer in names for r in records
         )
 
-    def _over_rate_refusals(self, records: Sequence[Sent]) -> int:
+    def _over_rate_refusals(self, records: Sequence[RequestRecord]) -> int:
         refused = sum(r.verdict is Verdict.OVER_RATE for r in records)
         return refused - self._within_rate(records)
 
     def _over_rate(self, executed: Collection[str]) -> int:
         """Return how many customers exceeded their burst and rate in some window."""
         return sum(
-            most_over_rate(
+            max_excess_requests(
                 caller.records, executed, caller.plan.rate_per_s, caller.plan.burst
             )
             >= 1.0
             for caller in self.callers
         )
 
-    def _last_served_after_withdrawal_ms(self, records: Sequence[Sent]) -> float:
+    def _last_served_after_withdrawal_ms(
+        self, records: Sequence[RequestRecord]
+    ) -> float:
         """Return how long after its withdrawal a key's last served request was sent."""
         served = [
             one.sent_s
--- a/src/crocusspindle_standins/fleet.py
+++ b/src/crocusspindle_standins/fleet.py
@@ -361,7 +361,7 @@
         """Set the faults of a target."""
         await put_json(self.session, f"{target.url}/-/control", faults)
 
-    async def leave(self, target: TargetProcess) -> None:
+    async def mark_leaving(self, target: TargetProcess) -> None:
         """Mark a target as leaving in the host list."""
         for host in self._hosts:
             if host["target"] == target.name:
--- a/src/crocusspindle_standins/on_platform/demo.py
+++ b/src/crocusspindle_standins/on_platform/demo.py
@@ -19,7 +19,7 @@
 import fire
 
 from crocusspindle_standins.on_platform.fleet import KEY, Fleet, configuration
-from crocusspindle_standins.on_platform.target import Trouble
+from crocusspindle_standins.on_platform.target import TargetFault
 
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 SECOND_KEY: Final = "second-key-of-the-club"
@@ -108,10 +108,10 @@
         gray = self._fleet.targets[0]
         await asyncio.sleep(self._duration_s / 4)
         before = gray.ran.total()
-        gray.trouble = Trouble.RESETS
+        gray.fault = TargetFault.RESETS
         await asyncio.sleep(self._duration_s / 4)
         self._report.gray_target_ran = gray.ran.total() - before
-        gray.trouble = Trouble.NONE
+        gray.fault = TargetFault.NONE
         victim = self._fleet.gateways[GATEWAYS - 1]
         assert victim.process is not None
         victim.process.kill()
--- a/src/crocusspindle_standins/on_platform/fleet.py
+++ b/src/crocusspindle_standins/on_platform/fleet.py
@@ -14,10 +14,10 @@
 import aiohttp
 from aiohttp import web
 
-from crocusspindle_standins.calling import calling_session
 from crocusspindle_standins.on_platform.store import TableStore
-from crocusspindle_standins.on_platform.target import TABLE, StampedTarget
+from crocusspindle_standins.on_platform.target import TABLE, PlatformTarget
 from crocusspindle_standins.processes import free_ports
+from crocusspindle_standins.single_attempt import single_attempt_session
 
 SOURCE: Final = Path(__file__).resolve().parents[2]
 KEY: Final = "key-of-the-club"
@@ -94,7 +94,7 @@
     folder: Path
     store: TableStore = field(default_factory=TableStore)
     store_address: str = ""
-    targets: list[StampedTarget] = field(default_factory=list)
+    targets: list[PlatformTarget] = field(default_factory=list)
     gateways: list[Gateway] = field(default_factory=list)
     session: aiohttp.ClientSession | None = None
     runner: web.AppRunner | None = None
@@ -104,7 +104,7 @@
 
     async def start(self, gateways: int = 3, targets: int = 4) -> None:
         """Start everything and wait until all gateways are ready."""
-        self.session = calling_session()
+        self.session = single_attempt_session()
         self.runner = web.AppRunner(self.store.app())
         await self.runner.setup()
         site = web.TCPSite(self.runner, "127.0.0.1", 0)
@@ -112,7 +112,7 @@
         self.store_address = f"127.0.0.1:{site.port}"
         await self.configure(configuration())
         for number in range(targets):
-            target = StampedTarget(f"t{number}", "books", "a")
+            target = PlatformTarget(f"t{number}", "books", "a")
             await target.start("127.0.0.1")
             self.targets.append(target)
         self.heartbeat_task = asyncio.create_task(self._write_entries())
@@ -136,7 +136,7 @@
                 await self._publish_entry(target)
             await asyncio.sleep(HEARTBEAT_S)
 
-    async def _publish_entry(self, target: StampedTarget) -> None:
+    async def _publish_entry(self, target: PlatformTarget) -> None:
         # Removes the entry of the address's previous instance, as if it had expired.
         published = self._published.get(target.address)
         if published is not None and published != target.identity:
--- a/src/crocusspindle_standins/on_platform/store.py
+++ b/src/crocusspindle_standins/on_platform/store.py
@@ -23,7 +23,7 @@
 class StoreMode(Enum):
     """Select how the store handles calls."""
 
-    WELL = "well"
+    HEALTHY = "well"
     BUSY = "busy"
     SILENT = "silent"
     LOSES_ANSWERS = "loses answers"
@@ -44,7 +44,7 @@
 class TableStore:
     """Hold all tables and count the calls."""
 
-    mode: StoreMode = StoreMode.WELL
+    mode: StoreMode = StoreMode.HEALTHY
     version: int = 0
     rows: dict[Key, TableRow] = field(default_factory=dict)
     calls: int = 0
@@ -68,7 +68,7 @@
         """Remove a row as an operator or a target does."""
         await self._apply([], [(table, "", key)])
 
-    def forget(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history: a feed from an earlier version gets 410."""
         self.oldest_feed_version = self.version
 
--- a/src/crocusspindle_standins/on_platform/target.py
+++ b/src/crocusspindle_standins/on_platform/target.py
@@ -34,7 +34,7 @@
     at_s: float
 
 
-class Trouble(Enum):
+class TargetFault(Enum):
     """Select how a target fails."""
 
     NONE = "none"
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class StampedTarget:
+class PlatformTarget:
     """Run requests in a few slots, and record what ran."""
 
     identity: str
@@ -58,10 +58,10 @@
     slots: int = 2
     work_s: float = 0.02
     limit: str | None = None
-    withstands: bool = False
-    arrived_s: list[float] = field(default_factory=list)
+    survives_crashing_requests: bool = False
+    arrival_times_s: list[float] = field(default_factory=list)
     restart_delay_s: float = 1.0
-    trouble: Trouble = Trouble.NONE
+    fault: TargetFault = TargetFault.NONE
     ran: Counter[str] = field(default_factory=Counter)
     seen: list[dict[str, str]] = field(default_factory=list)
     address: str = ""
@@ -137,8 +137,11 @@
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.headers.get("X-Expected-Instance") != self.identity:
             return web.Response(status=421, headers={"X-Instance-Id": self.identity})
-        self.arrived_s.append(time.monotonic())
-        if self.trouble is Trouble.SHEDS or self._in_flight >= self.slots + MAX_QUEUED:
+        self.arrival_times_s.append(time.monotonic())
+        if (
+            self.fault is TargetFault.SHEDS
+            or self._in_flight >= self.slots + MAX_QUEUED
+        ):
             return web.Response(status=503, headers={"X-Not-Executed": "1"})
         self._in_flight += 1
         try:
@@ -151,31 +154,31 @@
         body = await request.content.read()
         self.ran[request_id] += 1
         self.seen.append({**request.headers, "path": request.path_qs})
-        if CRASHING in request.path_qs and not self.withstands:
+        if CRASHING in request.path_qs and not self.survives_crashing_requests:
             self.crashes.append(Crash(request.path_qs, time.monotonic()))
             await asyncio.sleep(self.work_s)
             self._restart = asyncio.create_task(self._crash())
             await asyncio.sleep(HANG_S)
-        if self.trouble is Trouble.HANGS:
+        if self.fault is TargetFault.HANGS:
             await asyncio.sleep(HANG_S)
-        if self.trouble is Trouble.RESETS and request.transport is not None:
+        if self.fault is TargetFault.RESETS and request.transport is not None:
             request.transport.abort()
             raise ConnectionResetError
         await asyncio.sleep(self.work_s)
-        if self.trouble is Trouble.ERRORS:
+        if self.fault is TargetFault.ERRORS:
             return web.Response(status=500, headers={"X-Server-Stamp": "failed"})
-        if self.trouble is Trouble.CROSSES:
+        if self.fault is TargetFault.CROSSES:
             request_id = "of-another"
         headers = {"X-Request-Id": request_id, "X-Server-Stamp": f"s-{self.identity}"}
         if self.limit is not None:
             headers["Server-Limit"] = self.limit
-        if self.trouble in (Trouble.UNFRAMED, Trouble.UNFRAMED_RESETS):
+        if self.fault in (TargetFault.UNFRAMED, TargetFault.UNFRAMED_RESETS):
             return await self._respond_unframed(request, headers)
         response_body = b"answer to " + request.path_qs.encode() + b" " + body
         response = web.StreamResponse(headers=headers)
         response.content_length = len(response_body)
         await response.prepare(request)
-        if self.trouble is Trouble.CUTS:
+        if self.fault is TargetFault.CUTS:
             await response.write(response_body[:3])
             if request.transport is not None:
                 request.transport.abort()
@@ -193,7 +196,7 @@
         transport.write(f"HTTP/1.1 200 OK\r\n{head}\r\na first part".encode())
         await asyncio.sleep(UNFRAMED_PAUSE_S)
         transport.write(b" and a second")
-        if self.trouble is Trouble.UNFRAMED_RESETS:
+        if self.fault is TargetFault.UNFRAMED_RESETS:
             sock = transport.get_extra_info("socket")
             linger = struct.pack("ii", 1, 0)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/src/crocusspindle_standins/relay.py
+++ b/src/crocusspindle_standins/relay.py
@@ -54,7 +54,7 @@
         """Forward bytes again; silenced connections stay silent."""
         self._cut.clear()
 
-    def silence_open(self) -> None:
+    def silence_open_connections(self) -> None:
         """Silence every open connection permanently; new ones work."""
         self._silenced.update(range(self._connections))
 
--- a/src/crocusspindle_standins/calling.py
+++ b/src/crocusspindle_standins/single_attempt.py
@@ -5,7 +5,7 @@
 import aiohttp
 
 
-def calling_session(**options: Any) -> aiohttp.ClientSession:
+def single_attempt_session(**options: Any) -> aiohttp.ClientSession:
     """Return a session that sends each request once.
 
     The library silently retries a GET when a kept-alive connection breaks, as it does
--- a/src/crocusspindle_standins/virtual/fleet.py
+++ b/src/crocusspindle_standins/virtual/fleet.py
@@ -198,7 +198,7 @@
         """Return how many nodes have each view version in force."""
         return Counter(node.fleet_state.view.version for node in self.nodes.values())
 
-    def named(self) -> int:
+    def count_listed_processes(self) -> int:
         """Return how many running processes the store's view lists."""
         row = self.store.tables[Table.FLEET].get("view")
         if row is None or row.value is None:
@@ -214,9 +214,9 @@
             name for name, node in self.nodes.items() if node.platform_reader.active
         ]
 
-    def sent(self) -> int:
+    def sent_datagrams(self) -> int:
         """Return how many datagrams were sent."""
-        return sum(link.sent for link in self.network.links.values())
+        return sum(link.sent_datagrams for link in self.network.links.values())
 
     def sent_bytes(self) -> int:
         """Return how many bytes of datagrams were sent."""
--- a/src/crocusspindle_standins/virtual/network.py
+++ b/src/crocusspindle_standins/virtual/network.py
@@ -25,7 +25,7 @@
     mbit_s: float
     uplink_free_s: float = 0.0
     downlink_free_s: float = 0.0
-    sent: int = 0
+    sent_datagrams: int = 0
     sent_bytes: int = 0
     dropped: int = 0
     kinds: Counter[int] = field(default_factory=Counter)
@@ -64,7 +64,7 @@
         if uplink.uplink_free_s > now_s + MAX_BACKLOG_S:
             uplink.dropped += 1
             return
-        uplink.sent += 1
+        uplink.sent_datagrams += 1
         uplink.sent_bytes += len(data)
         uplink.uplink_free_s = max(now_s, uplink.uplink_free_s) + uplink.transmission_s(
             len(data)
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -9,8 +9,8 @@
 import aiohttp
 import pytest
 
-from crocusspindle_standins.calling import calling_session
 from crocusspindle_standins.fleet import Fleet, Layout, TargetGroup, sha256
+from crocusspindle_standins.single_attempt import single_attempt_session
 
 SHARES_OPEN_S = 10.0
 SHARES_FILL_S = 1.0
@@ -152,7 +152,7 @@
             )
             await fleet.until_in_force(number, fleet.nodes)
             session = await stack.enter_async_context(
-                calling_session(
+                single_attempt_session(
                     connector=aiohttp.TCPConnector(limit=0),
                     timeout=aiohttp.ClientTimeout(total=15, sock_connect=1),
                 )
--- a/tests/fleet/test_keys.py
+++ b/tests/fleet/test_keys.py
@@ -81,7 +81,7 @@
     caller.fleet.platform_relays[name].cut(Direction.TO_CLIENT)
     caller.fleet.peer_relays[name].cut(*Direction)
     for node in caller.fleet.nodes[:2]:
-        caller.fleet.peer_relays[node.name].silence_open()
+        caller.fleet.peer_relays[node.name].silence_open_connections()
         caller.fleet.peer_relays[node.name].cut(Direction.TO_CLIENT)
     await withdraw(caller)
     last_s = await served_until(caller, 2, OBSERVATION_S)
--- a/tests/fleet/test_rates.py
+++ b/tests/fleet/test_rates.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crocusspindle_standins.callers import Sent, Verdict, most_over_rate
+from crocusspindle_standins.callers import RequestRecord, Verdict, max_excess_requests
 
 
 async def send_continuously(caller, nodes, seconds, records, pause_s=0.004):
@@ -19,7 +19,7 @@
             sent_s = time.monotonic()
             status, _, _ = await caller.send(node, test_request=name)
             records.append(
-                Sent(
+                RequestRecord(
                     name,
                     "ward",
                     "",
@@ -37,7 +37,7 @@
 
 async def tokens_over_rate(caller, records, rate_per_s, burst):
     executed = await caller.executed()
-    return most_over_rate(records, executed.keys(), rate_per_s, burst)
+    return max_excess_requests(records, executed.keys(), rate_per_s, burst)
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_responses.py
+++ b/tests/fleet/test_responses.py
@@ -102,7 +102,7 @@
     """The host list marks a target as leaving, before its operator stops it."""
     caller = await start_fleet()
     target = caller.fleet.targets[0]
-    await caller.fleet.leave(target)
+    await caller.fleet.mark_leaving(target)
     await asyncio.sleep(3)
     before = sum((await caller.fleet.executions())[0]["customers"].values())
     for number in range(80):
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -128,7 +128,7 @@
         with pytest.raises(InvalidInputError, match="nothing-like-it"):
             await free_request(platform, "nothing-like-it")
         for target in fleet.targets:
-            target.withstands = True
+            target.survives_crashing_requests = True
         await free_request(platform, entry["content"])
         assert await held_requests(platform) == []
     async with asyncio.timeout(3.0):
--- a/tests/gateway/test_end_to_end.py
+++ b/tests/gateway/test_end_to_end.py
@@ -8,7 +8,7 @@
 
 from crocusspindle_standins.on_platform.fleet import KEY, Fleet, configuration
 from crocusspindle_standins.on_platform.store import StoreMode
-from crocusspindle_standins.on_platform.target import Trouble
+from crocusspindle_standins.on_platform.target import TargetFault
 
 
 @pytest.fixture
@@ -104,20 +104,22 @@
 
     Without retries callers would lose a quarter of their GETs.
     """
-    fleet.targets[0].trouble = Trouble.RESETS
+    fleet.targets[0].fault = TargetFault.RESETS
     responses = [await fleet.call("/pages/oak") for _ in range(40)]
     assert {status for status, _, _ in responses} == {200}
     assert fleet.targets[0].ran.total() <= 3
 
 
-@pytest.mark.parametrize("trouble", [Trouble.RESETS, Trouble.CUTS, Trouble.CROSSES])
+@pytest.mark.parametrize(
+    "trouble", [TargetFault.RESETS, TargetFault.CUTS, TargetFault.CROSSES]
+)
 async def test_a_post_runs_once_whatever_its_target_does(fleet, trouble):
     """A target runs POSTs and breaks their responses.
 
     Retried, the POST would run twice; reported as not run, its caller would repeat it.
     """
     for target in fleet.targets:
-        target.trouble = trouble
+        target.fault = trouble
     for _ in range(4):
         status, _, headers = await fleet.call("/orders/1", "POST", data=b"pay")
         assert status in (502, 503)
@@ -132,19 +134,19 @@
     Both end with their connection. A caller would take the truncated one as complete.
     """
     for target in fleet.targets:
-        target.trouble = Trouble.UNFRAMED
+        target.fault = TargetFault.UNFRAMED
     status, body, _ = await fleet.call("/orders/1", "POST", data=b"pay")
     assert (status, body) == (200, b"a first part and a second")
     for target in fleet.targets:
-        target.trouble = Trouble.UNFRAMED_RESETS
+        target.fault = TargetFault.UNFRAMED_RESETS
     for _ in range(4):
         status, body, _ = await fleet.call("/orders/1", "POST", data=b"pay")
         assert status in (502, 503) and b"part" not in body
 
 
 async def test_a_shed_post_is_sent_to_another_target(fleet):
-    fleet.targets[0].trouble = Trouble.SHEDS
-    fleet.targets[1].trouble = Trouble.SHEDS
+    fleet.targets[0].fault = TargetFault.SHEDS
+    fleet.targets[1].fault = TargetFault.SHEDS
     responses = [
         await fleet.call("/orders/1", "POST", data=b"pay", gateway=n % 3)
         for n in range(12)
@@ -154,7 +156,7 @@
 
 async def test_gets_that_meet_a_hung_target_are_hedged(fleet):
     """A target accepts requests and never answers."""
-    fleet.targets[0].trouble = Trouble.HANGS
+    fleet.targets[0].fault = TargetFault.HANGS
     pages = await asyncio.gather(*(fleet.call("/pages/oak") for _ in range(4)))
     assert [status for status, _, _ in pages] == [200] * 4
 
@@ -181,7 +183,7 @@
     await asyncio.sleep(4.0)
     status, _, headers = await fleet.call("/pages/")
     assert status == 503 and float(headers["Retry-After"]) > 0
-    fleet.store.mode = StoreMode.WELL
+    fleet.store.mode = StoreMode.HEALTHY
     async with asyncio.timeout(5):
         while (await fleet.call("/pages/"))[0] != 200:
             await asyncio.sleep(0.1)
@@ -189,11 +191,11 @@
 
 async def test_a_store_that_lost_its_history_is_read_in_full(fleet):
     """The store drops its history between two reads, with a change in it."""
-    fleet.store.forget()
+    fleet.store.drop_history()
     document = configuration(2)
     document["routes"]["new"] = {**document["routes"]["pages"], "prefix": "/new/"}
     await fleet.configure(document)
-    fleet.store.forget()
+    fleet.store.drop_history()
     async with asyncio.timeout(4):
         while (await fleet.call("/new/"))[0] != 200:
             await asyncio.sleep(0.1)
@@ -271,7 +273,7 @@
 
 
 async def test_the_log_lists_a_requests_attempts_and_no_key(fleet):
-    fleet.targets[0].trouble = Trouble.ERRORS
+    fleet.targets[0].fault = TargetFault.ERRORS
     for _ in range(8):
         await fleet.call("/orders/1", "POST", data=b"pay")
     lines = [line for line in fleet.gateways[0].lines() if line.get("request")]
--- a/tests/gateway/test_fleet_convergence.py
+++ b/tests/gateway/test_fleet_convergence.py
@@ -79,14 +79,21 @@
 
 async def assert_converged(fleet: VirtualFleet, for_s: float) -> None:
     """Check for a while: one view with all hosts, few readers, few messages."""
-    views, calls, sent = fleet.views(), fleet.store.calls.total(), fleet.sent()
+    views, calls, sent_datagrams = (
+        fleet.views(),
+        fleet.store.calls.total(),
+        fleet.sent_datagrams(),
+    )
     assert len(views) == 1
-    assert fleet.named() == len(fleet.nodes)
+    assert fleet.count_listed_processes() == len(fleet.nodes)
     assert len(fleet.readers()) <= READERS
     await asyncio.sleep(for_s)
     assert fleet.views() == views
     assert fleet.store.calls.total() - calls <= CALLS_PER_S * for_s
-    assert fleet.sent() - sent <= DATAGRAMS_PER_HOST_S * len(fleet.nodes) * for_s
+    assert (
+        fleet.sent_datagrams() - sent_datagrams
+        <= DATAGRAMS_PER_HOST_S * len(fleet.nodes) * for_s
+    )
 
 
 @pytest.mark.parametrize(
@@ -103,7 +110,7 @@
     async def scenario(fleet: VirtualFleet) -> None:
         await fleet.start_all()
         await asyncio.sleep(READY_AFTER_S - 2.0)
-        per_host = fleet.sent() / len(fleet.nodes) / (READY_AFTER_S - 2.0)
+        per_host = fleet.sent_datagrams() / len(fleet.nodes) / (READY_AFTER_S - 2.0)
         assert per_host <= DATAGRAMS_PER_HOST_S
         calls = fleet.store.calls.total() - CALLS_PER_S * (READY_AFTER_S - 2.0)
         assert calls <= START_CALLS_PER_HOST * len(fleet.nodes)
@@ -119,7 +126,7 @@
         fleet.store.writes_per_s = 25.0
         await fleet.start_all()
         await asyncio.sleep(READY_AFTER_S)
-        assert fleet.named() == len(fleet.nodes)
+        assert fleet.count_listed_processes() == len(fleet.nodes)
         assert fleet.store.refused_writes <= 2 * len(fleet.nodes)
 
     run_scenario([LARGE] * 8 + [SMALL] * 142, scenario)
@@ -204,7 +211,7 @@
         ]
         assert None not in configurations
         await asyncio.sleep(2.0 - CONFIGURED_S)
-        assert fleet.named() == len(fleet.nodes)
+        assert fleet.count_listed_processes() == len(fleet.nodes)
         assert len(fleet.views()) == 1
         await asyncio.sleep(6.0)
         await assert_converged(fleet, 2.0)
@@ -229,7 +236,7 @@
         ]
         assert None not in configurations
         await asyncio.sleep(2.0 - CONFIGURED_S)
-        assert fleet.named() == len(fleet.nodes)
+        assert fleet.count_listed_processes() == len(fleet.nodes)
         await asyncio.sleep(6.0)
         await assert_converged(fleet, 2.0)
 
@@ -271,7 +278,7 @@
         await asyncio.sleep(cut_s)
         fleet.rejoin(name)
         await asyncio.sleep(5.0)
-        assert fleet.named() == len(fleet.nodes)
+        assert fleet.count_listed_processes() == len(fleet.nodes)
         open_lists = {node.fleet_state.open_digest for node in fleet.nodes.values()}
         assert len(open_lists) == 1
         addresses = {address for address, _ in fleet.nodes[name].fleet_state.open_nodes}
@@ -294,11 +301,11 @@
         for name in first:
             await fleet.start(name)
         await asyncio.sleep(IN_VIEW_S)
-        assert fleet.named() == len(first)
+        assert fleet.count_listed_processes() == len(first)
         for name in list(fleet.sizes)[18:]:
             await fleet.start(name)
         await asyncio.sleep(IN_VIEW_S)
-        assert fleet.named() == len(fleet.nodes)
+        assert fleet.count_listed_processes() == len(fleet.nodes)
         await asyncio.sleep(6.0)
         await assert_converged(fleet, 2.0)
 
@@ -339,7 +346,7 @@
             n.fleet_state.configuration.content for n in fleet.nodes.values()
         ]
         assert None not in configurations
-        assert fleet.named() == len(fleet.nodes)
+        assert fleet.count_listed_processes() == len(fleet.nodes)
         await asyncio.sleep(MEMBERS_REMOVED_S)
         await assert_converged(fleet, 2.0)
 
--- a/tests/gateway/test_limited_targets.py
+++ b/tests/gateway/test_limited_targets.py
@@ -60,7 +60,7 @@
     """Return a limited target's maximum of requests in a window that begins later."""
     maximum = 0
     for target in fleet.targets[:LIMITED_TARGETS]:
-        times = target.arrived_s
+        times = target.arrival_times_s
         for index in range(bisect_left(times, from_s), len(times)):
             maximum = max(maximum, bisect_left(times, times[index] + WINDOW_S) - index)
     return maximum
@@ -98,9 +98,9 @@
     await call_for(fleet, for_s=4.0)
     set_limit(fleet, None)
     await call_for(fleet, for_s=5.0)
-    counts = [len(target.arrived_s) for target in fleet.targets]
+    counts = [len(target.arrival_times_s) for target in fleet.targets]
     await call_for(fleet, for_s=4.0)
     received = [
-        len(t.arrived_s) - n for t, n in zip(fleet.targets, counts, strict=True)
+        len(t.arrival_times_s) - n for t, n in zip(fleet.targets, counts, strict=True)
     ]
     assert min(received) > LIMIT_PER_S * 4.0 + 5.0
--- a/tests/gateway/test_pipelined_requests.py
+++ b/tests/gateway/test_pipelined_requests.py
@@ -6,7 +6,7 @@
 import pytest
 
 from crocusspindle_standins.on_platform.fleet import KEY, Fleet
-from crocusspindle_standins.on_platform.target import Trouble
+from crocusspindle_standins.on_platform.target import TargetFault
 
 SERVICE_TIME_S = 0.3
 PIPELINED = 4
@@ -77,7 +77,7 @@
 
 async def test_a_get_behind_a_hanging_one_is_not_delayed(fleet):
     """The first GET meets a target that hangs; the second is sent at the same time."""
-    fleet.targets[0].trouble = Trouble.HANGS
+    fleet.targets[0].fault = TargetFault.HANGS
     reader, writer = await connect(fleet)
     for round_number in range(3):
         writer.write(
--- a/tests/gateway/test_target_client.py
+++ b/tests/gateway/test_target_client.py
@@ -9,12 +9,12 @@
 from crocusspindle.gateway.target_client import OutgoingRequest, TargetClient
 from crocusspindle.ids import DomainId, ServiceId
 from crocusspindle.platform.dialect import dialect
-from crocusspindle_standins.on_platform.target import StampedTarget, Trouble
+from crocusspindle_standins.on_platform.target import PlatformTarget, TargetFault
 
 
 @pytest.fixture
 async def target():
-    started = StampedTarget("t0", "books", "a")
+    started = PlatformTarget("t0", "books", "a")
     await started.start("127.0.0.1")
     yield started
     await started.stop()
@@ -31,16 +31,16 @@
 @pytest.mark.parametrize(
     ("path", "trouble", "outcome"),
     [
-        ("/pages/oak", Trouble.NONE, AttemptOutcome.ANSWERED),
-        ("/pages/oak", Trouble.RESETS, AttemptOutcome.BROKEN),
-        ("/pages/crashes", Trouble.NONE, AttemptOutcome.CRASHED),
+        ("/pages/oak", TargetFault.NONE, AttemptOutcome.ANSWERED),
+        ("/pages/oak", TargetFault.RESETS, AttemptOutcome.BROKEN),
+        ("/pages/crashes", TargetFault.NONE, AttemptOutcome.CRASHED),
     ],
 )
 async def test_an_exited_process_is_distinguished_from_broken_connections(
     target, client, path, trouble, outcome
 ):
     """Guards against crashes that are taken for the resets of a gray target."""
-    target.trouble = trouble
+    target.fault = trouble
     listed = ListedTarget(
         TargetIdentity(target.identity),
         ServiceId(target.service),
--- a/tests/product/test_calling.py
+++ b/tests/product/test_calling.py
@@ -5,7 +5,7 @@
 import aiohttp
 import pytest
 
-from crocusspindle_standins.calling import calling_session
+from crocusspindle_standins.single_attempt import single_attempt_session
 
 
 async def test_broken_keep_alive_connection_is_reported_and_not_retried():
@@ -23,7 +23,7 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    async with calling_session() as session, server:
+    async with single_attempt_session() as session, server:
         url = f"http://127.0.0.1:{port}/"
         async with session.get(url) as response:
             assert response.status == 200
