--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -108,9 +108,9 @@
     settings = {f"{nats:g}": settings_at(nats) for nats in thresholds_nats}
     settings[CHOSEN] = HealthSettings()
     for name, config in settings.items():
-        judge = GroupHealth.from_config(config, 0.5)
-        judge.set_targets(trial.targets, 0.0)
-        trial.watchers[name] = Watcher(judge, trial.reaches)
+        group_health = GroupHealth.from_config(config, 0.5)
+        group_health.set_targets(trial.targets, 0.0)
+        trial.watchers[name] = Watcher(group_health, trial.reaches)
     trial.watchers[FIVE_ERRORS] = FiveErrors()
     end_ms = WARM_MS
     while end_ms < WARM_MS + WATCH_MS:
--- a/benchmarks/health_trial.py
+++ b/benchmarks/health_trial.py
@@ -89,8 +89,10 @@
 class Watcher:
     """Evaluate attempts that another evaluator places; record the first ejection."""
 
-    def __init__(self, judge: GroupHealth, reaches: Callable[[TargetId], bool]) -> None:
-        self.judge = judge
+    def __init__(
+        self, group_health: GroupHealth, reaches: Callable[[TargetId], bool]
+    ) -> None:
+        self.group_health = group_health
         self.reaches = reaches
         self.ejected_ms: dict[TargetId, float] = {}
 
@@ -98,7 +100,7 @@
         """Pass one ended attempt on, until the first ejection."""
         if self.ejected_ms:
             return
-        self.record(self.judge.observe(sample, now_ms), now_ms)
+        self.record(self.group_health.observe(sample, now_ms), now_ms)
 
     def record(self, changes: list[HealthChange], now_ms: float) -> None:
         """Record ejections and deliver second opinions."""
@@ -107,7 +109,7 @@
                 self.ejected_ms.setdefault(change.target, now_ms)
             elif isinstance(change, SecondOpinionWanted):
                 reached = self.reaches(change.target)
-                further_changes = self.judge.second_opinion(
+                further_changes = self.group_health.second_opinion(
                     change.target, reached, now_ms
                 )
                 self.record(further_changes, now_ms)
@@ -116,10 +118,10 @@
         """Pass the tick and the ages of outstanding requests on."""
         if self.ejected_ms:
             return
-        self.record(self.judge.tick(now_ms), now_ms)
+        self.record(self.group_health.tick(now_ms), now_ms)
         for target, start_times in running.items():
             ages_ms = [now_ms - at_ms for at_ms in start_times.values()]
-            self.record(self.judge.outstanding(target, ages_ms, now_ms), now_ms)
+            self.record(self.group_health.outstanding(target, ages_ms, now_ms), now_ms)
 
 
 class FiveErrors(Watcher):
@@ -149,7 +151,7 @@
     targets: list[Target]
     load: float
     seed: int
-    judge: GroupHealth
+    group_health: GroupHealth
     behaviours: dict[TargetId, Behaviour] = field(default_factory=dict)
     reached_elsewhere: bool = False
     now_ms: float = 0.0
@@ -171,8 +173,10 @@
         settings: HealthSettings | None = None,
     ) -> "HealthTrial":
         """Return a trial of one group; ``load`` is a fraction of its slots."""
-        judge = GroupHealth.from_config(settings or HealthSettings(), floor_fraction)
-        return cls(make_targets(count, slots), load, seed, judge)
+        group_health = GroupHealth.from_config(
+            settings or HealthSettings(), floor_fraction
+        )
+        return cls(make_targets(count, slots), load, seed, group_health)
 
     def __post_init__(self) -> None:
         self._rng = Random(self.seed)
@@ -184,7 +188,7 @@
         }
         total_slots = sum(target.slots for target in self.targets)
         self._gap_ms = MEAN_WORK_MS / (self.load * total_slots)
-        self._record(self.judge.set_targets(self.targets, 0.0))
+        self._record(self.group_health.set_targets(self.targets, 0.0))
         self._at(0.0, self._arrive)
         self._at(0.0, self._tick)
 
@@ -233,7 +237,7 @@
     def _request_second_opinion(self, target: TargetId) -> None:
         def deliver_opinion() -> None:
             reached = self.reaches(target)
-            self._record(self.judge.second_opinion(target, reached, self.now_ms))
+            self._record(self.group_health.second_opinion(target, reached, self.now_ms))
 
         self._at(self.now_ms + OPINION_MS, deliver_opinion)
 
@@ -244,10 +248,10 @@
 
     def _tick(self) -> None:
         self._at(self.now_ms + TICK_MS, self._tick)
-        self._record(self.judge.tick(self.now_ms))
+        self._record(self.group_health.tick(self.now_ms))
         for target, start_times in self._running.items():
             ages_ms = [self.now_ms - at_ms for at_ms in start_times.values()]
-            self._record(self.judge.outstanding(target, ages_ms, self.now_ms))
+            self._record(self.group_health.outstanding(target, ages_ms, self.now_ms))
         for watcher in self.watchers.values():
             watcher.tick(self._running, self.now_ms)
         # Requests leave the queue at their deadline.
@@ -271,8 +275,8 @@
             running = len(self._running[name])
             if running >= target.slots:
                 continue
-            weight = self.judge.weight(name, self.now_ms)
-            if self.judge.wants_trial(name, self.now_ms):
+            weight = self.group_health.weight(name, self.now_ms)
+            if self.group_health.wants_trial(name, self.now_ms):
                 weight = 2.0
             score = weight * (target.slots - running) * (0.5 + self._rng.random())
             if score > best_score:
@@ -285,15 +289,15 @@
         self._sequence += 1
         attempt = self._sequence
         self._running[target][attempt] = self.now_ms
-        if self.judge.wants_trial(target, self.now_ms):
-            self.judge.trial_sent(target, self.now_ms)
+        if self.group_health.wants_trial(target, self.now_ms):
+            self.group_health.trial_sent(target, self.now_ms)
 
         def end() -> None:
             del self._running[target][attempt]
             self.completed_requests += 1
             self.failures += outcome is not Outcome.OK
             sample = Sample(target, outcome, latency_ms)
-            self._record(self.judge.observe(sample, self.now_ms))
+            self._record(self.group_health.observe(sample, self.now_ms))
             for watcher in self.watchers.values():
                 watcher.observe(sample, self.now_ms)
             self._place()
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -17,7 +17,13 @@
 
 import fire
 
-from benchmarks.placing_trial import BadPaths, Gray, PlacingTrial, Site, Work
+from benchmarks.placing_trial import (
+    BadPaths,
+    Gray,
+    PlacingTrial,
+    RouteLoad,
+    ServiceScenario,
+)
 from benchmarks.result_table import write_table
 from crocusspindle.core.policies import Policies, Policy
 from crocusspindle.core.target_tracker import AttemptOutcome
@@ -31,25 +37,28 @@
 PROCESSES: Final = 4
 LATE_CREDIT: Final = 0.3
 
-LOOKUP: Final = Work("lookup", True, 22.6, 160.0, 0.5, 600.0, 1_500.0, priority=2)
-CONFIRM: Final = Work("confirm", False, 50.8, 210.0, 0.3, 600.0, 2_000.0)
-UPLOAD: Final = Work("upload", False, 6.7, 190.0, 0.8, 600.0, 4_000.0)
-ARCHIVE: Final = Work("archive", True, 13.5, 640.0, 0.5, 2e3, 6e3, priority=2)
-PAYMENT: Final = Work("payment", False, 59.2, 160.0, 0.3, 800.0, 2_500.0)
+LOOKUP: Final = RouteLoad("lookup", True, 22.6, 160.0, 0.5, 600.0, 1_500.0, priority=2)
+CONFIRM: Final = RouteLoad("confirm", False, 50.8, 210.0, 0.3, 600.0, 2_000.0)
+UPLOAD: Final = RouteLoad("upload", False, 6.7, 190.0, 0.8, 600.0, 4_000.0)
+ARCHIVE: Final = RouteLoad("archive", True, 13.5, 640.0, 0.5, 2e3, 6e3, priority=2)
+PAYMENT: Final = RouteLoad("payment", False, 59.2, 160.0, 0.3, 800.0, 2_500.0)
 
 
-def gray(ending: AttemptOutcome, fails: float = 0.75) -> Gray:
+def gray(outcome: AttemptOutcome, failure_fraction: float = 0.75) -> Gray:
     """Return gray failures of 1.5 to 3.5 s per target in 90 % of periods of 9 s."""
-    return Gray(0.9, 9_000.0, 1_500.0, 3_500.0, fails, ending)
+    return Gray(0.9, 9_000.0, 1_500.0, 3_500.0, failure_fraction, outcome)
 
 
-def faster(site: Site, factor: float) -> Site:
+def faster(scenario: ServiceScenario, factor: float) -> ServiceScenario:
     """Return the scenario with all request rates multiplied by a factor."""
-    works = [replace(work, rate_per_s=work.rate_per_s * factor) for work in site.works]
-    return replace(site, works=works)
+    route_loads = [
+        replace(route_load, rate_per_s=route_load.rate_per_s * factor)
+        for route_load in scenario.route_loads
+    ]
+    return replace(scenario, route_loads=route_loads)
 
 
-BOOKINGS: Final = Site(20, 2, (LOOKUP, CONFIRM), gray(AttemptOutcome.SILENT))
+BOOKINGS: Final = ServiceScenario(20, 2, (LOOKUP, CONFIRM), gray(AttemptOutcome.SILENT))
 LOADS: Final = {
     "hangs": BOOKINGS,
     "hangs, 1.6 times": faster(BOOKINGS, 1.6),
@@ -59,8 +68,10 @@
     "refuses half": replace(
         BOOKINGS, gray=Gray(1.0, 30e3, 8.5e3, 8.5e3, 0.55, AttemptOutcome.SHED)
     ),
-    "long beside short": Site(16, 2, (UPLOAD, ARCHIVE), gray(AttemptOutcome.SILENT)),
-    "runs once only": Site(
+    "long beside short": ServiceScenario(
+        16, 2, (UPLOAD, ARCHIVE), gray(AttemptOutcome.SILENT)
+    ),
+    "runs once only": ServiceScenario(
         15, 2, (PAYMENT,), gray(AttemptOutcome.BROKEN, 0.95), domains=4
     ),
     "bad paths": replace(BOOKINGS, gray=None, paths=BadPaths(0.12, 0.3)),
@@ -93,15 +104,16 @@
     """Return the figures of one run, over all routes together, in order of ``Row``."""
     policies = Policies.from_names(without)
     tallies = PlacingTrial(LOADS[load], seed, policies=policies).run().values()
-    asked = sum(tally.asked for tally in tallies)
-    sendings = sum(tally.sendings for tally in tallies)
+    request_count = sum(tally.request_count for tally in tallies)
+    attempts_sent = sum(tally.attempts_sent for tally in tallies)
     return (
-        sum(tally.in_aim + LATE_CREDIT * tally.late for tally in tallies) / asked,
-        sum(tally.late for tally in tallies) / asked,
-        sum(tally.lost for tally in tallies) / asked,
-        sum(tally.refused for tally in tallies) / asked,
-        sendings / asked,
-        sum(tally.other_domain for tally in tallies) / sendings,
+        sum(tally.on_time + LATE_CREDIT * tally.late for tally in tallies)
+        / request_count,
+        sum(tally.late for tally in tallies) / request_count,
+        sum(tally.lost for tally in tallies) / request_count,
+        sum(tally.refused for tally in tallies) / request_count,
+        attempts_sent / request_count,
+        sum(tally.other_domain for tally in tallies) / attempts_sent,
     )
 
 
--- a/benchmarks/placing_trial.py
+++ b/benchmarks/placing_trial.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Work:
+class RouteLoad:
     """Describe the requests of one route; ``work_ms`` is the mean service time."""
 
     name: str
@@ -42,7 +42,7 @@
     spread: float
     aim_ms: float
     deadline_ms: float
-    error_share: float = 0.012
+    error_fraction: float = 0.012
     priority: int = 1
     attempts: int = 2
     from_ms: float = 0.0
@@ -67,8 +67,8 @@
     period_ms: float
     shortest_ms: float
     longest_ms: float
-    fails: float
-    ending: AttemptOutcome
+    failure_fraction: float
+    outcome: AttemptOutcome
     slow: float = 8.0
 
 
@@ -88,12 +88,12 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class ServiceScenario:
     """Describe one service with its load and faults."""
 
     targets: int
     slots: int
-    works: Sequence[Work]
+    route_loads: Sequence[RouteLoad]
     gray: Gray | None = None
     paths: BadPaths | None = None
     domains: int = 3
@@ -107,33 +107,33 @@
 class Tally:
     """Count the requests of one route by result."""
 
-    asked: int = 0
-    in_aim: int = 0
+    request_count: int = 0
+    on_time: int = 0
     late: int = 0
     lost: int = 0
     refused: int = 0
-    sendings: int = 0
+    attempts_sent: int = 0
     other_domain: int = 0
     latencies_ms: list[float] = field(default_factory=list)
 
     @property
     def served(self) -> float:
         """Return the fraction that was answered."""
-        return (self.in_aim + self.late) / max(1, self.asked)
+        return (self.on_time + self.late) / max(1, self.request_count)
 
     @property
     def lost_share(self) -> float:
         """Return the fraction neither answered nor refused as not run."""
-        return self.lost / max(1, self.asked)
+        return self.lost / max(1, self.request_count)
 
     def credit(self, late_credit: float = 0.3) -> float:
         """Return the fraction answered, where a late answer counts ``late_credit``."""
-        return (self.in_aim + late_credit * self.late) / max(1, self.asked)
+        return (self.on_time + late_credit * self.late) / max(1, self.request_count)
 
 
 @dataclass
 class _Request:
-    route_load: Work
+    route_load: RouteLoad
     entry: HostId
     domain: DomainId
     began_ms: float
@@ -154,16 +154,16 @@
 class GrayPlan:
     """Draw once when each target is gray."""
 
-    def __init__(self, site: Site, rng: random.Random) -> None:
+    def __init__(self, scenario: ServiceScenario, rng: random.Random) -> None:
         self._windows: list[list[tuple[float, float]]] = [
-            [] for _ in range(site.targets)
+            [] for _ in range(scenario.targets)
         ]
-        gray = site.gray
+        gray = scenario.gray
         if gray is None:
             return
         for windows in self._windows:
             period_began_ms = -rng.uniform(0.0, gray.period_ms)
-            while period_began_ms < site.length_ms:
+            while period_began_ms < scenario.length_ms:
                 if rng.random() < gray.share:
                     span_ms = rng.uniform(gray.shortest_ms, gray.longest_ms)
                     latest_ms = max(0.0, gray.period_ms - span_ms)
@@ -179,13 +179,13 @@
 class PathPlan:
     """Draw once which pairs of entry and target lose connections."""
 
-    def __init__(self, site: Site, rng: random.Random) -> None:
-        self._paths = site.paths
-        share = 0.0 if site.paths is None else site.paths.share
+    def __init__(self, scenario: ServiceScenario, rng: random.Random) -> None:
+        self._paths = scenario.paths
+        share = 0.0 if scenario.paths is None else scenario.paths.share
         self._bad = {
             (str(entry), target)
-            for entry in range(site.entries)
-            for target in range(site.targets)
+            for entry in range(scenario.entries)
+            for target in range(scenario.targets)
             if rng.random() < share
         }
 
@@ -202,25 +202,27 @@
 
     def __init__(
         self,
-        site: Site,
+        scenario: ServiceScenario,
         seed: int,
         oracle: bool = False,
         policies: Policies = ALL_POLICIES,
     ) -> None:
-        self._site = site
+        self._scenario = scenario
         self._rng = random.Random(seed)
-        self._gray_plan = GrayPlan(site, random.Random(seed + 1))
-        self._paths = PathPlan(site, random.Random(seed + 2))
+        self._gray_plan = GrayPlan(scenario, random.Random(seed + 1))
+        self._paths = PathPlan(scenario, random.Random(seed + 2))
         self._oracle = oracle
         self._events: list[_Event] = []
         self._number = 0
         self._queued: list[tuple[_Request, QueuedRequest, bool]] = []
-        self._budget = RetryBudget(site.budget_ratio, site.budget_extra, 10_000.0)
+        self._budget = RetryBudget(
+            scenario.budget_ratio, scenario.budget_extra, 10_000.0
+        )
         # No other placer served before this one, so its retry counts are complete.
         self._budget.set_known_since(-math.inf)
         self.placer = ServicePlacer(FLOOR_FRACTION, self._budget, policies)
         self.placer.set_targets(self._listed(), 0.0)
-        self.tallies = {route_load.name: Tally() for route_load in site.works}
+        self.tallies = {route_load.name: Tally() for route_load in scenario.route_loads}
 
     def _listed(self) -> list[ListedTarget]:
         return [
@@ -228,16 +230,16 @@
                 TargetIdentity(str(number)),
                 ServiceId("service"),
                 f"host-{number}:80",
-                DomainId(str(number % self._site.domains)),
-                self._site.slots,
+                DomainId(str(number % self._scenario.domains)),
+                self._scenario.slots,
                 Readiness.READY,
             )
-            for number in range(self._site.targets)
+            for number in range(self._scenario.targets)
         ]
 
     def run(self) -> dict[str, Tally]:
         """Run all requests and return the counts by route."""
-        for route_load in self._site.works:
+        for route_load in self._scenario.route_loads:
             self._schedule_arrival(route_load, route_load.from_ms)
         self._at(TICK_MS, self._tick)
         while self._events:
@@ -252,21 +254,21 @@
     def _tick(self, now_ms: float) -> None:
         self.placer.process_due(now_ms)
         self._serve_queued(now_ms)
-        if now_ms < self._site.length_ms:
+        if now_ms < self._scenario.length_ms:
             self._at(now_ms + TICK_MS, self._tick)
 
-    def _schedule_arrival(self, route_load: Work, now_ms: float) -> None:
+    def _schedule_arrival(self, route_load: RouteLoad, now_ms: float) -> None:
         at_ms = now_ms + self._rng.expovariate(route_load.rate_per_s / 1e3)
-        if at_ms < min(route_load.until_ms, self._site.length_ms):
+        if at_ms < min(route_load.until_ms, self._scenario.length_ms):
             self._at(at_ms, lambda at: self._arrive(route_load, at))
 
-    def _arrive(self, route_load: Work, now_ms: float) -> None:
+    def _arrive(self, route_load: RouteLoad, now_ms: float) -> None:
         self._schedule_arrival(route_load, now_ms)
-        entry = self._rng.randrange(self._site.entries)
-        domain = DomainId(str(entry % self._site.domains))
+        entry = self._rng.randrange(self._scenario.entries)
+        domain = DomainId(str(entry % self._scenario.domains))
         ends_ms = now_ms + route_load.deadline_ms
         request = _Request(route_load, HostId(str(entry)), domain, now_ms, ends_ms)
-        self.tallies[route_load.name].asked += 1
+        self.tallies[route_load.name].request_count += 1
         self._request_placement(request, False, now_ms)
 
     def _request_placement(
@@ -297,7 +299,7 @@
             return frozenset()
         return frozenset(
             TargetIdentity(str(number))
-            for number in range(self._site.targets)
+            for number in range(self._scenario.targets)
             if self._gray_plan.gray(number, now_ms)
         )
 
@@ -328,17 +330,17 @@
     def _send(self, request: _Request, placed: PlacementGranted, now_ms: float) -> None:
         target = placed.target.identity
         tally = self.tallies[request.route_load.name]
-        tally.sendings += 1
+        tally.attempts_sent += 1
         tally.other_domain += placed.target.domain != request.domain
         request.tried.add(target)
         request.running += 1
-        ending, span_ms = self._attempt_result(request, int(target), now_ms)
+        outcome, span_ms = self._attempt_result(request, int(target), now_ms)
         ends_ms = min(now_ms + span_ms, request.ends_ms)
         if ends_ms < now_ms + span_ms:
-            ending = AttemptOutcome.SILENT
-        self._at(ends_ms, lambda at: self._ended(request, placed, ending, now_ms, at))
+            outcome = AttemptOutcome.SILENT
+        self._at(ends_ms, lambda at: self._ended(request, placed, outcome, now_ms, at))
         first = request.attempts_reached == 0
-        request.attempts_reached += ending not in (
+        request.attempts_reached += outcome not in (
             AttemptOutcome.SHED,
             AttemptOutcome.UNREACHED,
         )
@@ -359,7 +361,7 @@
     def _attempt_result(
         self, request: _Request, target: int, now_ms: float
     ) -> tuple[AttemptOutcome, float]:
-        paths = self._site.paths
+        paths = self._scenario.paths
         if paths is not None and self._paths.loses(
             request.entry, target, now_ms, self._rng.random()
         ):
@@ -367,37 +369,37 @@
         return self._run_attempt(target, request.route_load, now_ms)
 
     def _run_attempt(
-        self, target: int, route_load: Work, now_ms: float
+        self, target: int, route_load: RouteLoad, now_ms: float
     ) -> tuple[AttemptOutcome, float]:
         work_ms = route_load.draw_ms(self._rng)
-        gray = self._site.gray
-        failed = self._rng.random() < route_load.error_share
+        gray = self._scenario.gray
+        failed = self._rng.random() < route_load.error_fraction
         if gray is not None and self._gray_plan.gray(target, now_ms):
-            if self._rng.random() >= gray.fails:
+            if self._rng.random() >= gray.failure_fraction:
                 return AttemptOutcome.ANSWERED, work_ms
-            if gray.ending is AttemptOutcome.ANSWERED:
+            if gray.outcome is AttemptOutcome.ANSWERED:
                 return AttemptOutcome.ANSWERED, work_ms * gray.slow
-            if gray.ending is AttemptOutcome.SILENT:
+            if gray.outcome is AttemptOutcome.SILENT:
                 return AttemptOutcome.SILENT, math.inf
             spans = {AttemptOutcome.ERROR: work_ms}
-            return gray.ending, spans.get(gray.ending, BROKEN_AFTER_MS)
+            return gray.outcome, spans.get(gray.outcome, BROKEN_AFTER_MS)
         return (AttemptOutcome.ERROR if failed else AttemptOutcome.ANSWERED), work_ms
 
     def _ended(
         self,
         request: _Request,
         placed: PlacementGranted,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         began_ms: float,
         now_ms: float,
     ) -> None:
         request.running -= 1
         if request.done:
-            ending = AttemptOutcome.ABANDONED
+            outcome = AttemptOutcome.ABANDONED
         self.placer.ended(
             placed.target.identity,
             placed.grant,
-            ending,
+            outcome,
             request.entry,
             now_ms - began_ms,
             now_ms,
@@ -405,22 +407,22 @@
         self._serve_queued(now_ms)
         if request.done:
             return
-        if ending is AttemptOutcome.ANSWERED:
+        if outcome is AttemptOutcome.ANSWERED:
             self._answered(request, now_ms)
-        elif self._may_retry(request, ending, now_ms):
+        elif self._may_retry(request, outcome, now_ms):
             self._request_placement(
                 request,
-                request.attempts_reached > 0 or ending is AttemptOutcome.SHED,
+                request.attempts_reached > 0 or outcome is AttemptOutcome.SHED,
                 now_ms,
             )
         elif not request.running:
             request.done = True
-            self._count_unanswered(request, ending)
+            self._count_unanswered(request, outcome)
 
-    def _count_unanswered(self, request: _Request, ending: AttemptOutcome) -> None:
+    def _count_unanswered(self, request: _Request, outcome: AttemptOutcome) -> None:
         tally = self.tallies[request.route_load.name]
         if (
-            ending in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED)
+            outcome in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED)
             and not request.attempts_reached
         ):
             tally.refused += 1
@@ -433,16 +435,16 @@
         latency_ms = now_ms - request.began_ms
         tally.latencies_ms.append(latency_ms)
         if latency_ms <= request.route_load.aim_ms:
-            tally.in_aim += 1
+            tally.on_time += 1
         else:
             tally.late += 1
 
     def _may_retry(
-        self, request: _Request, ending: AttemptOutcome, now_ms: float
+        self, request: _Request, outcome: AttemptOutcome, now_ms: float
     ) -> bool:
         if now_ms >= request.ends_ms or request.running:
             return False
-        if ending in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED):
+        if outcome in (AttemptOutcome.SHED, AttemptOutcome.UNREACHED):
             return len(request.tried) < MAX_TARGETS_TRIED
         return (
             request.route_load.idempotent
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -14,12 +14,12 @@
 
 import fire
 
-from benchmarks.queueing_ways import EntryPicker, serve_by_one_queue
+from benchmarks.queueing_baselines import EntryPicker, serve_by_one_queue
 from benchmarks.virtual import (
-    ConstantFitness,
+    ConstantTargetWeights,
+    CoordinatorDriver,
     Demand,
     EventLoop,
-    HomeDriver,
     Job,
     Verdict,
     VirtualTarget,
@@ -85,12 +85,14 @@
     entry_hop_ms: float = _HOP_MS,
     target_hop_ms: float = 0.0,
     kind: type[GroupCoordinator] = GroupCoordinator,
-) -> tuple[EventLoop, HomeDriver, list[VirtualTarget]]:
+) -> tuple[EventLoop, CoordinatorDriver, list[VirtualTarget]]:
     """Return an event loop, a coordinator's driver and its healthy targets."""
     loop = EventLoop()
     targets = make_targets(loop, _TARGETS, _SLOTS, random.Random(SEED + 1))
-    coordinator = kind.from_config(settings, ConstantFitness(), random.Random(SEED + 2))
-    driver = HomeDriver(loop, coordinator, targets, entry_hop_ms, target_hop_ms)
+    coordinator = kind.from_config(
+        settings, ConstantTargetWeights(), random.Random(SEED + 2)
+    )
+    driver = CoordinatorDriver(loop, coordinator, targets, entry_hop_ms, target_hop_ms)
     return loop, driver, targets
 
 
@@ -185,7 +187,7 @@
     return make_jobs(demand, seconds * 1_000.0, exponential_work, random.Random(SEED))
 
 
-def place_by_home(
+def place_by_coordinator(
     load: float,
     seconds: float,
     settings: CoordinatorSettings,
@@ -228,9 +230,9 @@
         no_hedges = CoordinatorSettings(hedge_fraction=0.0)
         ways = {
             "optimum": best,
-            "home": place_by_home(load, seconds, CoordinatorSettings()),
-            "home_no_hedges": place_by_home(load, seconds, no_hedges),
-            "home_far_targets": place_by_home(
+            "home": place_by_coordinator(load, seconds, CoordinatorSettings()),
+            "home_no_hedges": place_by_coordinator(load, seconds, no_hedges),
+            "home_far_targets": place_by_coordinator(
                 load, seconds, CoordinatorSettings(), 0.75
             ),
             "entries_queue": place_by_entries(load, seconds, queues=True),
@@ -314,7 +316,7 @@
         driver.submit(jobs)
         loop.run()
         coordinator = GroupCoordinator.from_config(
-            CoordinatorSettings(), ConstantFitness(), random.Random(0)
+            CoordinatorSettings(), ConstantTargetWeights(), random.Random(0)
         )
         coordinator.set_targets([target.target for target in targets], 0.0)
         began_s = time.process_time()
--- a/benchmarks/shares_fleet.py
+++ b/benchmarks/shares_fleet.py
@@ -362,7 +362,9 @@
     def _time_out(self, now_ms: float, sent_request: LoanRequest) -> None:
         name = self.customer.customer
         ledger = self.ledgers[sent_request.entry]
-        answer = ledger.lost(name, sent_request.lender, sent_request.sent_ms, now_ms)
+        answer = ledger.record_timeout_and_spend(
+            name, sent_request.lender, sent_request.sent_ms, now_ms
+        )
         self._settle(now_ms, sent_request, answer)
 
     def call_at(self, at_ms: float, action: Callable[[float], None]) -> None:
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -182,7 +182,7 @@
     finished: bool = False
 
 
-class HomeDriver:
+class CoordinatorDriver:
     """Execute a coordinator's decisions on virtual targets."""
 
     def __init__(
@@ -302,7 +302,7 @@
             job.done(job)
 
 
-class ConstantFitness:
+class ConstantTargetWeights:
     """Give all targets full weight and no trials."""
 
     def weight(self, target: TargetId, now_ms: float) -> float:
--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -345,7 +345,7 @@
             until_ms = requested_at_ms + grace_ms
             lenders.loan_pool.put(lender, value, decay_per_ms, until_ms, now_ms)
 
-    def lost(
+    def record_timeout_and_spend(
         self,
         customer: CustomerId,
         lender: MemberId,
--- a/src/crocusspindle/services/rates.py
+++ b/src/crocusspindle/services/rates.py
@@ -157,7 +157,9 @@
         lender, sent_ms = borrow.holders[0], now_ms()
         loan = await self._request_loan(customer, lender, borrow.missing)
         if loan is None:
-            return self._ledger.lost(customer, lender, sent_ms, now_ms())
+            return self._ledger.record_timeout_and_spend(
+                customer, lender, sent_ms, now_ms()
+            )
         return self._ledger.credit_and_spend(customer, loan, lender, sent_ms, now_ms())
 
     async def _request_loan(
--- a/tests/core/shares_world.py
+++ b/tests/core/shares_world.py
@@ -273,7 +273,7 @@
                 loan_request.customer, loan_request.lender, now_ms
             )
             return
-        result = loan_request.borrower.ledger.lost(
+        result = loan_request.borrower.ledger.record_timeout_and_spend(
             loan_request.customer,
             loan_request.lender,
             loan_request.requested_at_ms,
--- a/tests/core/test_any_service.py
+++ b/tests/core/test_any_service.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from benchmarks.placing_trial import Gray, PlacingTrial, Site, Work
+from benchmarks.placing_trial import Gray, PlacingTrial, RouteLoad, ServiceScenario
 from crocusspindle.core.target_tracker import AttemptOutcome
 
 SERVICES = 24
@@ -24,7 +24,7 @@
 )
 
 
-def random_site(seed: int) -> Site:
+def random_scenario(seed: int) -> ServiceScenario:
     """Return a service drawn by a seed, with a fifth to three fifths of it in use."""
     rng = random.Random(seed)
     targets = round(200 ** rng.random()) + 1
@@ -36,8 +36,8 @@
     length_ms = REQUESTS / rate_per_s * 1e3
     safe = rng.uniform(0.1, 0.9)
     aim_ms = work_ms * rng.uniform(3.0, 5.0)
-    works = [
-        Work(
+    route_loads = [
+        RouteLoad(
             name,
             idempotent,
             rate_per_s * share,
@@ -45,7 +45,7 @@
             spread,
             aim_ms,
             4.0 * aim_ms,
-            error_share=rng.uniform(0.0, 0.1),
+            error_fraction=rng.uniform(0.0, 0.1),
         )
         for name, idempotent, share in (("safe", True, safe), ("once", False, 1 - safe))
     ]
@@ -55,18 +55,20 @@
         period_ms=4.0 * shortest_ms,
         shortest_ms=shortest_ms,
         longest_ms=2.0 * shortest_ms,
-        fails=rng.uniform(0.5, 1.0),
-        ending=rng.choice(GRAY_OUTCOMES),
+        failure_fraction=rng.uniform(0.5, 1.0),
+        outcome=rng.choice(GRAY_OUTCOMES),
     )
     domains = min(targets, rng.randint(1, 4))
-    return Site(targets, slots, works, gray, domains=domains, length_ms=length_ms)
+    return ServiceScenario(
+        targets, slots, route_loads, gray, domains=domains, length_ms=length_ms
+    )
 
 
-def gray_windows(site: Site) -> float:
+def gray_windows(scenario: ServiceScenario) -> float:
     """Return how many gray failures there are to be found."""
-    assert site.gray is not None
-    periods = site.length_ms / site.gray.period_ms + 1.0
-    return site.targets * site.gray.share * periods
+    assert scenario.gray is not None
+    periods = scenario.length_ms / scenario.gray.period_ms + 1.0
+    return scenario.targets * scenario.gray.share * periods
 
 
 @pytest.mark.parametrize("seed", range(SERVICES))
@@ -76,13 +78,15 @@
     On another one they would eject its targets for being slow, or leave gray ones in
     use.
     """
-    site = random_site(seed)
-    tallies = PlacingTrial(site, seed).run()
-    oracle = PlacingTrial(site, seed, oracle=True).run()
+    scenario = random_scenario(seed)
+    tallies = PlacingTrial(scenario, seed).run()
+    oracle = PlacingTrial(scenario, seed, oracle=True).run()
     # A gray failure is found by as many requests as its target has slots, and met again
     # at returns: three for each slot, of all requests at most a tenth.
-    max_extra_failures = min(0.1 * REQUESTS, 3.0 * site.slots * gray_windows(site))
+    max_extra_failures = min(
+        0.1 * REQUESTS, 3.0 * scenario.slots * gray_windows(scenario)
+    )
     for name in ("once", "safe"):
         extra_failures = tallies[name].lost + tallies[name].refused
         extra_failures -= oracle[name].lost + oracle[name].refused
-        assert extra_failures <= max_extra_failures + 0.02 * tallies[name].asked
+        assert extra_failures <= max_extra_failures + 0.02 * tallies[name].request_count
--- a/tests/core/test_group_coordinator_load.py
+++ b/tests/core/test_group_coordinator_load.py
@@ -13,16 +13,16 @@
     five_times_neighbour,
     make_driver,
     mixed_work,
+    place_by_coordinator,
     place_by_entries,
-    place_by_home,
     serve,
     share_in_time,
 )
 from benchmarks.virtual import (
-    ConstantFitness,
+    ConstantTargetWeights,
+    CoordinatorDriver,
     Demand,
     EventLoop,
-    HomeDriver,
     Verdict,
     make_jobs,
     make_targets,
@@ -148,9 +148,9 @@
     for target in targets:
         target.target = replace(target.target, slots=claimed)
     coordinator = GroupCoordinator.from_config(
-        CoordinatorSettings(), ConstantFitness(), random.Random(2)
+        CoordinatorSettings(), ConstantTargetWeights(), random.Random(2)
     )
-    driver = HomeDriver(loop, coordinator, targets)
+    driver = CoordinatorDriver(loop, coordinator, targets)
     demand = [Demand(CustomerId("club"), load * 8 * real * 20.0, 1.0, 5_000.0)]
     jobs = make_jobs(demand, 40_000.0, exponential_work, random.Random(3))
     driver.submit(jobs)
@@ -168,9 +168,9 @@
     jobs = make_jobs(demands(), 20_000.0, exponential_work, random.Random(3))
     for number in range(2):
         coordinator = GroupCoordinator.from_config(
-            CoordinatorSettings(), ConstantFitness(), random.Random(2)
+            CoordinatorSettings(), ConstantTargetWeights(), random.Random(2)
         )
-        HomeDriver(loop, coordinator, targets).submit(jobs[number::2])
+        CoordinatorDriver(loop, coordinator, targets).submit(jobs[number::2])
     loop.run()
     assert share_in_time(jobs) >= 0.999
     assert sum(target.overruns for target in targets) < 0.02 * len(jobs)
@@ -180,7 +180,7 @@
     """Forty entries choose among targets of two slots, each by the few requests that it
     sent itself. Requests queue at one target while another idles."""
     by_entries = place_by_entries(0.8, 20.0, queues=True)
-    by_coordinator = place_by_home(0.8, 20.0, CoordinatorSettings())
+    by_coordinator = place_by_coordinator(0.8, 20.0, CoordinatorSettings())
     assert by_entries["overruns_per_request"] > 0.3
     assert by_coordinator["overruns_per_request"] < 0.01
     assert by_coordinator["mean_wait_ms"] < 0.3 * by_entries["mean_wait_ms"]
@@ -201,6 +201,6 @@
     coordinator = GroupCoordinator.from_config(
         CoordinatorSettings(), fake_weights, random.Random(2)
     )
-    HomeDriver(loop, coordinator, targets).submit(jobs)
+    CoordinatorDriver(loop, coordinator, targets).submit(jobs)
     loop.run()
     assert share_in_time(jobs) >= 0.999
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -81,7 +81,9 @@
     trial = run_trial(healthy)
     target = trial.targets[0].target
     for outcome in [Outcome.CALLER_ERROR, Outcome.SHED] * 500:
-        assert trial.judge.observe(Sample(target, outcome, 5.0), trial.now_ms) == []
+        assert (
+            trial.group_health.observe(Sample(target, outcome, 5.0), trial.now_ms) == []
+        )
 
 
 def test_target_reached_from_elsewhere_makes_the_group_suspect() -> None:
@@ -113,8 +115,10 @@
     target = trial.targets[0].target
     for step in range(100):
         now_ms = trial.now_ms + 100.0 * step
-        assert trial.judge.outstanding(target, [100.0 * step], now_ms) == []
-        assert trial.judge.observe(Sample(target, Outcome.OK, 40.0), now_ms) == []
+        assert trial.group_health.outstanding(target, [100.0 * step], now_ms) == []
+        assert (
+            trial.group_health.observe(Sample(target, Outcome.OK, 40.0), now_ms) == []
+        )
 
 
 def test_evidence_of_requests_no_longer_outstanding_expires() -> None:
@@ -124,12 +128,12 @@
     target, now_ms = trial.targets[0].target, trial.now_ms + 5_000.0
 
     def evidence_nats(at_ms: float) -> float:
-        assert trial.judge.tick(at_ms) == []
-        rows = {row.target: row for row in trial.judge.snapshot(at_ms)}
+        assert trial.group_health.tick(at_ms) == []
+        rows = {row.target: row for row in trial.group_health.snapshot(at_ms)}
         return rows[target].evidence_nats
 
     before_nats = evidence_nats(now_ms)
-    trial.judge.outstanding(target, [200.0, 220.0], now_ms)
+    trial.group_health.outstanding(target, [200.0, 220.0], now_ms)
     assert evidence_nats(now_ms) > before_nats + 2.0
     assert evidence_nats(now_ms + 1_000.0) == before_nats
 
@@ -164,7 +168,7 @@
     trial.run_until(BEGIN_MS + 30_000.0)
     kinds = [type(change) for _, change in trial.changes]
     assert kinds == [Ejected, ProbationBegan, Restored]
-    assert trial.judge.weight(gray, trial.now_ms) == 1.0
+    assert trial.group_health.weight(gray, trial.now_ms) == 1.0
 
 
 def test_wrong_health_check_keeps_no_target_in_service() -> None:
@@ -174,8 +178,8 @@
     trial.behaviours[gray] = since(BEGIN_MS, failing(0.3))
     for now_ms in range(0, 40_000, 250):
         trial.run_until(float(now_ms))
-        assert trial.judge.probe(gray, True, trial.now_ms) == []
-    health = {row.target: row for row in trial.judge.snapshot(trial.now_ms)}
+        assert trial.group_health.probe(gray, True, trial.now_ms) == []
+    health = {row.target: row for row in trial.group_health.snapshot(trial.now_ms)}
     assert health[gray].state in (HealthState.EJECTED, HealthState.PROBATION)
 
 
@@ -184,5 +188,5 @@
     trial = run_trial(healthy)
     target = trial.targets[0].target
     for step in range(1_000):
-        assert trial.judge.probe(target, False, trial.now_ms + step) == []
-    assert trial.judge.weight(target, trial.now_ms + 1_000.0) == 1.0
+        assert trial.group_health.probe(target, False, trial.now_ms + step) == []
+    assert trial.group_health.weight(target, trial.now_ms + 1_000.0) == 1.0
--- a/tests/core/test_health_floor.py
+++ b/tests/core/test_health_floor.py
@@ -27,15 +27,21 @@
 COORDINATORS = 2
 
 
-def out_of_service(judge: GroupHealth, now_ms: float) -> set[TargetId]:
-    return {row.target for row in judge.snapshot(now_ms) if row.state in OUT_OF_SERVICE}
+def out_of_service(group_health: GroupHealth, now_ms: float) -> set[TargetId]:
+    return {
+        row.target
+        for row in group_health.snapshot(now_ms)
+        if row.state in OUT_OF_SERVICE
+    }
 
 
 def given_trials_only(
-    judge: GroupHealth, targets: list[Target], now_ms: float
+    group_health: GroupHealth, targets: list[Target], now_ms: float
 ) -> set[TargetId]:
     max_weight = HealthSettings().probation_weight
-    return {t.target for t in targets if judge.weight(t.target, now_ms) <= max_weight}
+    return {
+        t.target for t in targets if group_health.weight(t.target, now_ms) <= max_weight
+    }
 
 
 def serving_fraction(targets: list[Target], ejected: set[TargetId]) -> float:
@@ -100,10 +106,10 @@
     )
     def observe_elsewhere(self, coordinator: int, number: int, seen: bool) -> None:
         name = self.targets[number % len(self.targets)].target
-        judge = self.coordinators[coordinator]
-        judge.second_opinion(name, seen, self.now_ms)
-        judge.probe(name, seen, self.now_ms)
-        judge.outstanding(name, [60_000.0 * seen] * 2, self.now_ms)
+        group_health = self.coordinators[coordinator]
+        group_health.second_opinion(name, seen, self.now_ms)
+        group_health.probe(name, seen, self.now_ms)
+        group_health.outstanding(name, [60_000.0 * seen] * 2, self.now_ms)
 
     @rule(step_ms=st.sampled_from([100.0, 1_000.0, 20_000.0]))
     def tick(self, step_ms: float) -> None:
@@ -168,7 +174,7 @@
         for target in trial.targets[bad]:
             trial.behaviours[target.target] = since(5_000.0, failing(1.0))
         trial.run_until(9_000.0)
-        ejected |= out_of_service(trial.judge, trial.now_ms)
+        ejected |= out_of_service(trial.group_health, trial.now_ms)
         trials.append(trial)
     return serving_fraction(trials[0].targets, ejected), trials
 
@@ -183,8 +189,11 @@
     assert shared >= FLOOR
     for trial in trials:
         assert trial.times(EjectionWithheld)
-        ejected = out_of_service(trial.judge, trial.now_ms)
-        assert given_trials_only(trial.judge, trial.targets, trial.now_ms) == ejected
+        ejected = out_of_service(trial.group_health, trial.now_ms)
+        assert (
+            given_trials_only(trial.group_health, trial.targets, trial.now_ms)
+            == ejected
+        )
 
 
 @pytest.mark.parametrize("rates", [[1.0] * 8, [0.4] * 5 + [1.0] * 2 + [0.01]])
@@ -195,7 +204,7 @@
     for target, rate in zip(trial.targets, rates, strict=True):
         trial.behaviours[target.target] = since(5_000.0, failing(rate))
     trial.run_until(9_900.0)
-    ejected = out_of_service(trial.judge, trial.now_ms)
+    ejected = out_of_service(trial.group_health, trial.now_ms)
     worst = {t.target for t, r in zip(trial.targets, rates, strict=True) if r == 1.0}
     assert ejected <= worst
     assert serving_fraction(trial.targets, ejected) >= FLOOR
@@ -212,6 +221,6 @@
     ):
         trial.behaviours[name] = since(begin_ms, failing(rate))
     trial.run_until(8_000.0)
-    assert out_of_service(trial.judge, trial.now_ms) == set(names[:2])
+    assert out_of_service(trial.group_health, trial.now_ms) == set(names[:2])
     trial.run_until(9_500.0)
-    assert out_of_service(trial.judge, trial.now_ms) == set(names[2:4])
+    assert out_of_service(trial.group_health, trial.now_ms) == set(names[2:4])
--- a/tests/core/test_placing_cost.py
+++ b/tests/core/test_placing_cost.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from benchmarks.placing_trial import Gray, PlacingTrial, Site, Work
+from benchmarks.placing_trial import Gray, PlacingTrial, RouteLoad, ServiceScenario
 from crocusspindle.core.target_tracker import AttemptOutcome
 
-LOOKUP = Work("lookup", True, 100.0, 160.0, 0.5, 900.0, 5_500.0, priority=2)
-CONFIRM = Work("confirm", False, 230.0, 210.0, 0.3, 900.0, 6_600.0)
-BUSY = Site(337, 2, (LOOKUP, CONFIRM), entries=96, length_ms=1_500.0)
+LOOKUP = RouteLoad("lookup", True, 100.0, 160.0, 0.5, 900.0, 5_500.0, priority=2)
+CONFIRM = RouteLoad("confirm", False, 230.0, 210.0, 0.3, 900.0, 6_600.0)
+BUSY = ServiceScenario(337, 2, (LOOKUP, CONFIRM), entries=96, length_ms=1_500.0)
 REFUSING = Gray(0.3, 60_000.0, 60_000.0, 60_000.0, 0.55, AttemptOutcome.SHED)
 
 CALLS_PER_REQUEST = 10_000
@@ -24,7 +24,7 @@
 400 requests a second with half of its processor."""
 
 
-def calls_of(site: Site) -> tuple[int, int]:
+def calls_of(scenario: ServiceScenario) -> tuple[int, int]:
     """Return the number of function calls of a run, and that of its requests."""
     calls = 0
 
@@ -32,13 +32,13 @@
         nonlocal calls
         calls += event in ("call", "c_call")
 
-    trial = PlacingTrial(site, seed=0)
+    trial = PlacingTrial(scenario, seed=0)
     sys.setprofile(count)
     try:
         tallies = trial.run()
     finally:
         sys.setprofile(None)
-    return calls, sum(tally.asked for tally in tallies.values())
+    return calls, sum(tally.request_count for tally in tallies.values())
 
 
 @pytest.mark.parametrize("gray", [None, REFUSING], ids=["calm", "refusing"])
--- a/tests/core/test_placing_load.py
+++ b/tests/core/test_placing_load.py
@@ -14,17 +14,17 @@
     BadPaths,
     Gray,
     PlacingTrial,
-    Site,
+    RouteLoad,
+    ServiceScenario,
     Tally,
-    Work,
 )
 from crocusspindle.core.policies import ALL_POLICIES, Policies
 from crocusspindle.core.target_tracker import AttemptOutcome, EjectionState
 
-LOOKUP = Work("lookup", True, 22.6, 160.0, 0.5, 600.0, 1_500.0, priority=2)
-CONFIRM = Work("confirm", False, 50.8, 210.0, 0.3, 600.0, 2_000.0)
+LOOKUP = RouteLoad("lookup", True, 22.6, 160.0, 0.5, 600.0, 1_500.0, priority=2)
+CONFIRM = RouteLoad("confirm", False, 50.8, 210.0, 0.3, 600.0, 2_000.0)
 HANGS = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, AttemptOutcome.SILENT)
-BOOKINGS = Site(20, 2, (LOOKUP, CONFIRM), HANGS)
+BOOKINGS = ServiceScenario(20, 2, (LOOKUP, CONFIRM), HANGS)
 SEEDS = range(4)
 
 
@@ -32,26 +32,38 @@
     """Return the sum of all routes."""
     total = Tally()
     for tally in tallies.values():
-        for field in ("asked", "in_aim", "late", "lost", "refused", "sendings"):
+        for field in (
+            "request_count",
+            "on_time",
+            "late",
+            "lost",
+            "refused",
+            "attempts_sent",
+        ):
             setattr(total, field, getattr(total, field) + getattr(tally, field))
     return total
 
 
 def run_all_seeds(
-    site: Site, policies: Policies = ALL_POLICIES, oracle: bool = False
+    scenario: ServiceScenario, policies: Policies = ALL_POLICIES, oracle: bool = False
 ) -> dict[str, Tally]:
     """Return the tallies of all seeds together."""
-    runs = [PlacingTrial(site, seed, oracle, policies).run() for seed in SEEDS]
+    runs = [PlacingTrial(scenario, seed, oracle, policies).run() for seed in SEEDS]
     return {
-        work.name: total_of({str(n): run[work.name] for n, run in enumerate(runs)})
-        for work in site.works
+        route_load.name: total_of(
+            {str(n): run[route_load.name] for n, run in enumerate(runs)}
+        )
+        for route_load in scenario.route_loads
     }
 
 
-def with_rate_factor(site: Site, factor: float) -> Site:
+def with_rate_factor(scenario: ServiceScenario, factor: float) -> ServiceScenario:
     """Return a site with its request rates multiplied by a factor."""
-    works = [replace(work, rate_per_s=work.rate_per_s * factor) for work in site.works]
-    return replace(site, works=works)
+    route_loads = [
+        replace(route_load, rate_per_s=route_load.rate_per_s * factor)
+        for route_load in scenario.route_loads
+    ]
+    return replace(scenario, route_loads=route_loads)
 
 
 def test_work_that_runs_once_goes_to_targets_with_a_recent_success():
@@ -73,8 +85,8 @@
     Their callers must not notice: the second attempt still has to answer in time.
     """
     lookups = run_all_seeds(BOOKINGS)["lookup"]
-    assert lookups.late + lookups.lost < 0.01 * lookups.asked
-    assert lookups.sendings < 1.2 * lookups.asked
+    assert lookups.late + lookups.lost < 0.01 * lookups.request_count
+    assert lookups.attempts_sent < 1.2 * lookups.request_count
 
 
 def test_long_work_beside_short_work_does_not_hide_that_short_work_hangs():
@@ -82,11 +94,11 @@
 
     By the latencies of both, an upload that has hung for a second is not unusual.
     """
-    upload = Work("upload", False, 6.66, 190.0, 0.8, 600.0, 4_000.0)
-    archive = Work("archive", True, 13.5, 640.0, 0.5, 2_000.0, 6_000.0, priority=2)
-    records = Site(16, 2, (upload, archive), HANGS)
+    upload = RouteLoad("upload", False, 6.66, 190.0, 0.8, 600.0, 4_000.0)
+    archive = RouteLoad("archive", True, 13.5, 640.0, 0.5, 2_000.0, 6_000.0, priority=2)
+    records = ServiceScenario(16, 2, (upload, archive), HANGS)
     archives = run_all_seeds(records)["archive"]
-    assert archives.late < 0.02 * archives.asked
+    assert archives.late < 0.02 * archives.request_count
     often = replace(records, gray=replace(HANGS, share=0.9))
     per_route = run_all_seeds(often)["upload"]
     together = run_all_seeds(often, Policies.without(["route-latencies"]))["upload"]
@@ -99,9 +111,9 @@
     With a pause after each refusal, the service would seem full while slots idle.
     """
     refuses = Gray(1.0, 30_000.0, 8_500.0, 8_500.0, 0.55, AttemptOutcome.SHED)
-    site = replace(BOOKINGS, gray=refuses)
-    for tally in run_all_seeds(site).values():
-        assert tally.refused < 0.01 * tally.asked
+    scenario = replace(BOOKINGS, gray=refuses)
+    for tally in run_all_seeds(scenario).values():
+        assert tally.refused < 0.01 * tally.request_count
 
 
 def test_over_its_capacity_a_service_serves_the_urgent_in_time():
@@ -110,12 +122,12 @@
     Confirmations have the higher priority and are served in time. Look-ups take what is
     left, and those that cannot be served are refused at once.
     """
-    site = replace(with_rate_factor(BOOKINGS, 3.4), gray=None)
-    tallies = run_all_seeds(site)
+    scenario = replace(with_rate_factor(BOOKINGS, 3.4), gray=None)
+    tallies = run_all_seeds(scenario)
     confirms, lookups = tallies["confirm"], tallies["lookup"]
-    assert confirms.refused < 0.01 * confirms.asked
-    assert confirms.late < 0.02 * confirms.asked
-    assert lookups.refused > 0.4 * lookups.asked
+    assert confirms.refused < 0.01 * confirms.request_count
+    assert confirms.late < 0.02 * confirms.request_count
+    assert lookups.refused > 0.4 * lookups.request_count
 
 
 def test_a_burst_is_served_late_rather_than_refused():
@@ -124,11 +136,13 @@
     A refused caller has nothing; one that waits for a slot that idles after the burst
     has an answer, if late. No request that can be on time waits behind a late one.
     """
-    steady = Work("usual", False, 40.0, 210.0, 0.3, 500.0, 4_000.0)
+    steady = RouteLoad("usual", False, 40.0, 210.0, 0.3, 500.0, 4_000.0)
     burst = replace(steady, name="burst", rate_per_s=120.0, from_ms=4e3, until_ms=5e3)
-    site = Site(8, 2, (steady, burst), None, domains=1, length_ms=10_000.0)
-    waits = total_of(run_all_seeds(site))
-    refused = total_of(run_all_seeds(site, Policies.without(["late-queueing"])))
+    scenario = ServiceScenario(
+        8, 2, (steady, burst), None, domains=1, length_ms=10_000.0
+    )
+    waits = total_of(run_all_seeds(scenario))
+    refused = total_of(run_all_seeds(scenario, Policies.without(["late-queueing"])))
     assert waits.served > refused.served + 0.02
     assert waits.credit() > refused.credit()
 
@@ -142,11 +156,11 @@
     slow = Gray(
         1.0, 60_000.0, 20_000.0, 20_000.0, 1.0, AttemptOutcome.ANSWERED, slow=2.5
     )
-    site = replace(BOOKINGS, gray=slow)
-    trial = PlacingTrial(site, 1)
+    scenario = replace(BOOKINGS, gray=slow)
+    trial = PlacingTrial(scenario, 1)
     tallies = trial.run()
     for tally in tallies.values():
-        assert tally.refused < 0.01 * tally.asked
+        assert tally.refused < 0.01 * tally.request_count
         assert tally.served > 0.97
 
 
@@ -156,8 +170,8 @@
     Guards against entries that agree by chance: healthy targets would be ejected one
     after the other until a third of the service idles while requests go unserved.
     """
-    site = replace(BOOKINGS, gray=None, paths=BadPaths(0.12, 0.3))
-    trial = PlacingTrial(site, 1)
+    scenario = replace(BOOKINGS, gray=None, paths=BadPaths(0.12, 0.3))
+    trial = PlacingTrial(scenario, 1)
     trial.run()
     unreached = [
         change
@@ -177,8 +191,8 @@
     The first request that meets one cannot know. After it, all entries do.
     """
     gray = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, ending)
-    site = replace(BOOKINGS, gray=gray)
-    lost = run_all_seeds(site)["confirm"].lost_share
-    known = run_all_seeds(site, oracle=True)["confirm"].lost_share
+    scenario = replace(BOOKINGS, gray=gray)
+    lost = run_all_seeds(scenario)["confirm"].lost_share
+    known = run_all_seeds(scenario, oracle=True)["confirm"].lost_share
     # Two gray failures in three seconds, of which each costs two requests at most.
     assert lost - known < 2 * 0.67 / CONFIRM.rate_per_s
--- a/tests/core/test_shares.py
+++ b/tests/core/test_shares.py
@@ -179,9 +179,9 @@
     assert isinstance(ledger.spend(CLUB.customer, FOREVER, 9_000.0), Borrow)
     ledger.activate(ViewNumber(1), 10_000.0)
     opens_at_ms = 10_000.0 + SETTINGS.wait_ms
-    ledger.lost(CLUB.customer, HOLDERS[1], opens_at_ms, opens_at_ms)
+    ledger.record_timeout_and_spend(CLUB.customer, HOLDERS[1], opens_at_ms, opens_at_ms)
     early_ms = opens_at_ms + 1_900.0
-    ledger.lost(CLUB.customer, HOLDERS[1], early_ms, early_ms)
+    ledger.record_timeout_and_spend(CLUB.customer, HOLDERS[1], early_ms, early_ms)
     assert not isinstance(ledger.spend(CLUB.customer, FOREVER, early_ms), Spent)
     late_ms = opens_at_ms + 2_000.0
     assert isinstance(ledger.spend(CLUB.customer, FOREVER, late_ms), Spent)
