--- a/src/crocusspindle/cli.py
+++ b/src/crocusspindle/cli.py
@@ -236,7 +236,7 @@
         return self._get("/v1/status")
 
     def where(self, caller: str, key_file: str) -> _Action:
-        """List the addresses that a caller port tells callers to use.
+        """List the addresses that a node gives to callers.
 
         Parameters
         ----------
--- a/src/crocusspindle/docs_reference.py
+++ b/src/crocusspindle/docs_reference.py
@@ -89,10 +89,10 @@
     are already loaded.
     """
     names = {**vars(instruments), **vars(gateway_instruments)}
-    known = list(declared().values())
+    instruments_declared = list(declared().values())
     ordered: list[Instrument] = []
     for value in names.values():
-        if value in known and value not in ordered:
+        if value in instruments_declared and value not in ordered:
             ordered.append(value)
     return ordered
 
--- a/src/crocusspindle/instruments.py
+++ b/src/crocusspindle/instruments.py
@@ -131,7 +131,7 @@
     unit="calls",
     labels=("call", "result"),
     meaning="Calls to the platform, by result.",
-    when_rising="More `unavailable` or `unknown`: see the page on the platform away.",
+    when_rising='More `unavailable` or `unknown`: see the page "Platform away".',
 )
 PLATFORM_CALL_MS: Final = declare(
     "platform_call_ms",
@@ -153,7 +153,7 @@
     InstrumentKind.COUNTER,
     unit="requests",
     labels=("customer",),
-    meaning="Requests refused because the holder asked had no tokens.",
+    meaning="Requests refused because their entry had no tokens and could borrow none.",
     when_rising="If the customer is within its rate, other holders have the tokens.",
 )
 SHARE_LOANS: Final = declare(
--- a/src/crocusspindle/metrics.py
+++ b/src/crocusspindle/metrics.py
@@ -169,17 +169,17 @@
         return counts
 
     def _instrument(self, instrument: Instrument) -> Any:
-        found = self._instruments.get(instrument.name)
-        if found is None:
+        exported = self._instruments.get(instrument.name)
+        if exported is None:
             is_histogram = instrument.kind is InstrumentKind.HISTOGRAM
             create = (
                 self._meter.create_histogram
                 if is_histogram
                 else self._meter.create_gauge
             )
-            found = create(PREFIX + instrument.name, description=instrument.meaning)
-            self._instruments[instrument.name] = found
-        return found
+            exported = create(PREFIX + instrument.name, description=instrument.meaning)
+            self._instruments[instrument.name] = exported
+        return exported
 
     def _bounded_labels(self, labels: Mapping[str, str]) -> Mapping[str, str]:
         for label, value in labels.items():
--- a/src/crocusspindle/operator_client.py
+++ b/src/crocusspindle/operator_client.py
@@ -96,9 +96,9 @@
         raise CommandError(f"cannot connect: {error}", ExitCode.RETRY_LATER) from error
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         # Only a submitted ticket may have taken effect despite the error.
-        lost = method == "POST" and path == "/v1/tickets"
-        code = ExitCode.UNKNOWN if lost else ExitCode.RETRY_LATER
-        advice = "; submit the same ticket again" if lost else ""
+        may_have_taken_effect = method == "POST" and path == "/v1/tickets"
+        code = ExitCode.UNKNOWN if may_have_taken_effect else ExitCode.RETRY_LATER
+        advice = "; submit the same ticket again" if may_have_taken_effect else ""
         message = f"no response: {error or type(error).__name__}{advice}"
         raise CommandError(message, code) from error
 
--- a/src/crocusspindle/platform/adapter.py
+++ b/src/crocusspindle/platform/adapter.py
@@ -40,7 +40,7 @@
     """
 
     async def get(self, table: str, key: str, deadline_ms: float) -> Row | None:
-        """Return one row, or None when there is none."""
+        """Return one row, or None if it does not exist."""
 
     async def put(
         self,
@@ -50,12 +50,12 @@
         expected_version: int,
         deadline_ms: float,
     ) -> PutResult:
-        """Write a row on condition that its version is the expected one."""
+        """Write a row if its version is the expected one."""
 
     async def delete(
         self, table: str, key: str, expected_version: int, deadline_ms: float
     ) -> bool:
-        """Delete a row on condition of its version; return False if it differs."""
+        """Delete a row if its version is the expected one; return False if not."""
 
     async def read_range(
         self, table: str, after_key: str, limit: int, deadline_ms: float
@@ -63,17 +63,17 @@
         """Return at most ``limit`` rows with keys above ``after_key``, in order."""
 
     async def get_object(self, name: str, deadline_ms: float) -> bytes | None:
-        """Return a stored object, or None when there is none."""
+        """Return a stored object, or None if it does not exist."""
 
     async def put_object(self, name: str, content: bytes, deadline_ms: float) -> None:
         """Store an object atomically, replacing an older one."""
 
     async def hosts(self, deadline_ms: float) -> Sequence[Target]:
-        """Return the lagging list of live and leaving target hosts."""
+        """Return the list of live and leaving target hosts, which may lag."""
 
 
 class PlatformAdapter(Platform, Protocol):
-    """Implement one kind of platform; a new platform's module defines one."""
+    """Add construction and closing to ``Platform``; each adapter implements it."""
 
     @classmethod
     def from_config(cls, options: Mapping[str, Any]) -> Self:
--- a/src/crocusspindle/platform/dialect.py
+++ b/src/crocusspindle/platform/dialect.py
@@ -27,7 +27,7 @@
         where_path=WHERE_PATH,
         target_limit_per_s=_target_limit_per_s,
         caller_domain=_caller_domain,
-        where_response=_where_answer,
+        where_response=_where_response,
     )
 
 
@@ -49,5 +49,5 @@
     return query.get("zone", "")
 
 
-def _where_answer(addresses: Sequence[str], valid_s: float) -> bytes:
+def _where_response(addresses: Sequence[str], valid_s: float) -> bytes:
     return json.dumps({"addresses": list(addresses), "ttl_s": valid_s}).encode()
--- a/src/crocusspindle/platform/fleet_platform.py
+++ b/src/crocusspindle/platform/fleet_platform.py
@@ -63,8 +63,8 @@
     async def put(self, key: str, value: bytes, expected: int | None) -> int | None:
         """Write a row of the fleet's table; return its version, None on conflict.
 
-        ``expected`` is the version that the row must have, 0 if it must not exist;
-        None writes the row unconditionally.
+        ``expected_version`` is the version that the row must have, 0 if it must not
+        exist; None writes the row unconditionally.
         """
 
     def configuration(self, rows: Sequence[StoredRow]) -> bytes | None:
--- a/src/crocusspindle/platform/http.py
+++ b/src/crocusspindle/platform/http.py
@@ -65,14 +65,14 @@
     ) -> tuple[int, bytes]:
         # A failed read had no effect. A write whose response is lost may have taken
         # effect; only a failed connection shows that it did not.
-        left_s = remaining_s(deadline_ms)
-        if left_s <= 0:
+        timeout_s = remaining_s(deadline_ms)
+        if timeout_s <= 0:
             raise PlatformUnavailableError(f"no time left for {method} {path}")
         error_type = (
             PlatformUnknownError if method != "GET" else PlatformUnavailableError
         )
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(timeout_s):
                 async with self._client().request(
                     method, self._url + path, **options
                 ) as response:
@@ -91,7 +91,7 @@
         return status, content
 
     async def get(self, table: str, key: str, deadline_ms: float) -> Row | None:
-        """Return one row, or None when there is none."""
+        """Return one row, or None if it does not exist."""
         path = f"/v1/tables/{table}/rows/{quote(key, safe='')}"
         status, content = await self._read(path, deadline_ms)
         return None if status == HTTP_NOT_FOUND else _row(msgpack.unpackb(content))
@@ -104,7 +104,7 @@
         expected_version: int,
         deadline_ms: float,
     ) -> PutResult:
-        """Write a row on condition that its version is the expected one."""
+        """Write a row if its version is the expected one."""
         status, content = await self._call(
             "PUT",
             f"/v1/tables/{table}/rows/{quote(key, safe='')}",
@@ -119,7 +119,7 @@
     async def delete(
         self, table: str, key: str, expected_version: int, deadline_ms: float
     ) -> bool:
-        """Delete a row on condition of its version; return False if it differs."""
+        """Delete a row if its version is the expected one; return False if not."""
         status, _ = await self._call(
             "DELETE",
             f"/v1/tables/{table}/rows/{quote(key, safe='')}",
@@ -142,7 +142,7 @@
         return [Row(*fields) for fields in msgpack.unpackb(content)]
 
     async def get_object(self, name: str, deadline_ms: float) -> bytes | None:
-        """Return a stored object, or None when there is none."""
+        """Return a stored object, or None if it does not exist."""
         path = f"/v1/objects/{quote(name, safe='')}"
         status, content = await self._read(path, deadline_ms)
         return None if status == HTTP_NOT_FOUND else content
@@ -155,7 +155,7 @@
             raise PlatformUnknownError(f"PUT object {name}: status {status}")
 
     async def hosts(self, deadline_ms: float) -> Sequence[Target]:
-        """Return the lagging list of live and leaving target hosts."""
+        """Return the list of live and leaving target hosts, which may lag."""
         _, content = await self._read("/v1/hosts", deadline_ms)
         return [
             Target(
--- a/src/crocusspindle/platform/settings_file.py
+++ b/src/crocusspindle/platform/settings_file.py
@@ -12,7 +12,7 @@
 
 PATH_ENV: Final = "CROCUSSPINDLE_SETTINGS"
 METRICS_PORT: Final = 9464
-"""The port ``metrics`` of the deploy file, the exporter's default."""
+"""The port ``metrics`` in the platform's deploy file: the exporter's default."""
 
 
 def settings_path(given: str | None) -> Path:
@@ -76,7 +76,7 @@
 def _positive(
     limits: Any, name: str, default: float, source: str, findings: list[Finding]
 ) -> float:
-    """Return a limit of the host, or the default if the file does not set it."""
+    """Return a limit of the host or its default; add a finding if it is invalid."""
     value = limits.get(name, default) if isinstance(limits, Mapping) else None
     if isinstance(value, int | float) and not isinstance(value, bool) and value > 0:
         return float(value)
--- a/src/crocusspindle/platform/table_store.py
+++ b/src/crocusspindle/platform/table_store.py
@@ -59,7 +59,7 @@
                 connector=aiohttp.TCPConnector(force_close=True),
                 cookie_jar=aiohttp.DummyCookieJar(),
             )
-            # aiohttp would retry a failed read by itself; each call has a price.
+            # By default aiohttp repeats a failed read, and each call has a cost.
             self._session._retry_connection = False
         return self._session
 
--- a/src/crocusspindle/tls.py
+++ b/src/crocusspindle/tls.py
@@ -16,6 +16,7 @@
 
 _LOG: Final = Logger("tls")
 
+# Modification time in ns, size in bytes and inode; zeros if the file is missing.
 FileState = tuple[int, int, int]
 
 
@@ -148,11 +149,11 @@
             (settings.peer.tls, ssl.PROTOCOL_TLS_SERVER),
             (settings.peer.tls, ssl.PROTOCOL_TLS_CLIENT),
         )
-        loaded: list[WatchedContext | None] = []
+        watched_contexts: list[WatchedContext | None] = []
         findings: list[Finding] = []
         for section, protocol in sections:
             try:
-                loaded.append(
+                watched_contexts.append(
                     None
                     if section is None
                     else WatchedContext.from_config(section, protocol)
@@ -162,9 +163,11 @@
         if findings:
             raise SettingsError(findings)
         caller, operator, server, client = (
-            None if item is None else item.context for item in loaded
+            None if item is None else item.context for item in watched_contexts
+        )
+        reloader = CertificateReloader(
+            [item for item in watched_contexts if item is not None]
         )
-        reloader = CertificateReloader([item for item in loaded if item is not None])
         return cls(caller, operator, server, client, reloader)
 
 
