--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -192,11 +192,11 @@
         key = ticket_key(number)
         try:
             if submission.step is SubmissionStep.READ_PREDECESSOR:
-                predecessor = ticket_key(TicketNumber(number - 1))
-                found = await self._platform.get(
-                    TICKETS, predecessor, self._deadline_ms()
+                predecessor_key = ticket_key(TicketNumber(number - 1))
+                predecessor = await self._platform.get(
+                    TICKETS, predecessor_key, self._deadline_ms()
                 )
-                submission.predecessor_read(found is not None)
+                submission.predecessor_read(predecessor is not None)
             elif submission.step is SubmissionStep.PUT:
                 content = encode_ticket(submission.ticket)
                 result = await self._platform.put(
@@ -256,10 +256,10 @@
         return applied_by
 
     def _ineligible_members(self) -> set[MemberId]:
-        """Return members that certainly refuse new work by now.
+        """Return members that a ticket need not wait for to be in force.
 
-        A member that has not echoed for longer than a timestamp stays fresh either is
-        not eligible or has read the ticket log since.
+        A member that has not echoed for longer than a timestamp stays fresh certainly
+        refuses new work by now, or has read the ticket log since.
         """
         limit_ms = self._timings.freshness_ms * 1.25
         return {
--- a/src/crocusspindle/services/caller_response.py
+++ b/src/crocusspindle/services/caller_response.py
@@ -48,7 +48,7 @@
 ) -> web.StreamResponse:
     """Relay a response to its caller; abort the connection if it is truncated.
 
-    A caller would take a truncated response with a regular end for a complete one. An
+    A caller would regard a truncated response with a regular end as complete. An
     aborted connection shows the truncation, whatever length the target announced.
 
     A caller that disconnects may repeat a named operation to get its response, so
--- a/src/crocusspindle/services/caller_server.py
+++ b/src/crocusspindle/services/caller_server.py
@@ -25,7 +25,7 @@
         super().__init__(
             manager,
             loop=asyncio.get_running_loop(),
-            access_log=None,  # type: ignore[arg-type]  # None turns it off
+            access_log=None,  # type: ignore[arg-type]  # None disables it
             max_line_size=settings.max_header_bytes,
             max_field_size=settings.max_header_bytes,
         )
--- a/src/crocusspindle/services/control.py
+++ b/src/crocusspindle/services/control.py
@@ -37,9 +37,10 @@
 from crocusspindle.settings_schema import TimingSettings
 from crocusspindle.wire import fleet_pb2 as wire
 
-TAIL_KEPT: Final = 1_000
+MAX_KEPT_TICKETS: Final = 1_000
 """Applied tickets kept for lagging peers: several hours of an ordinary day. A peer that
 lags further starts from a snapshot."""
+# Reported while no host list was read: its age is infinite.
 MAX_TARGETS_AGE_MS: Final = 1e12
 CONTACT_HEARTBEATS: Final = 6
 
@@ -345,6 +346,6 @@
         )
         self.directory.apply(changes_of(ticket))
         self._tail[ticket.number] = encode_ticket(ticket)
-        self._tail.pop(TicketNumber(ticket.number - TAIL_KEPT), None)
+        self._tail.pop(TicketNumber(ticket.number - MAX_KEPT_TICKETS), None)
         for call in self._on_change:
             call(change)
--- a/src/crocusspindle/services/coordinator.py
+++ b/src/crocusspindle/services/coordinator.py
@@ -127,23 +127,23 @@
     async def _await_result(
         self, runner: GroupRunner, request: HandedOverRequest
     ) -> None:
-        reading = asyncio.create_task(request.read())
-        pending: set[asyncio.Future[Any]] = {reading, request.final}
+        read_task = asyncio.create_task(request.read())
+        pending: set[asyncio.Future[Any]] = {read_task, request.final}
         first_completed = asyncio.FIRST_COMPLETED
         try:
             await asyncio.wait(
                 pending, timeout=QUEUED_FRAME_DELAY_S, return_when=first_completed
             )
-            if not request.final.done() and not reading.done():
+            if not request.final.done() and not read_task.done():
                 queued = wire.Queued(load=load_message(runner.load()))
                 await request.link.send(wire.AnswerFrame(queued=queued))
                 await asyncio.wait(pending, return_when=first_completed)
             if request.final.done():
                 await self._send_final(runner, request, request.final.result())
         finally:
-            reading.cancel()
+            read_task.cancel()
             with suppress(asyncio.CancelledError, *PEER_FAILURES):
-                await reading
+                await read_task
 
     async def _send_final(
         self,
@@ -162,7 +162,7 @@
             # The stream to the entry ends without its last frame, so that the caller
             # sees a truncated response.
             transfer = ResponseTransfer.TARGET_FAILED
-            raise PeerError("the target broke the answer off") from None
+            raise PeerError("the target ended the response early") from None
         finally:
             request.end_transfer(transfer)
 
@@ -240,7 +240,7 @@
                 runner.revoke(digest)
 
     async def _second_opinion(self, target: TargetId) -> bool:
-        """Ask a node of another failure domain to try a target."""
+        """Return whether a node of another failure domain can connect to a target."""
         for member in self._opinion_candidates():
             with suppress(*PEER_FAILURES):
                 async with asyncio.timeout(SECOND_OPINION_TIMEOUT_MS / 1e3):
@@ -251,7 +251,7 @@
                         metadata=self._peers.metadata,
                     )
                 return bool(reply.reached)
-        raise PeerError("no node of another failure domain answered")
+        raise PeerError("no node of another failure domain responded")
 
     def _opinion_candidates(self) -> list[MemberId]:
         own = self._control.own_member.domain
--- a/src/crocusspindle/services/entry.py
+++ b/src/crocusspindle/services/entry.py
@@ -202,7 +202,7 @@
         # names other nodes, so that callers can move at once.
         view = self._control.view
         others = [] if view is None else order(customer.encode(), view.names)
-        elsewhere = (
+        other_addresses = (
             [
                 member.caller_address
                 for name in others
@@ -212,7 +212,9 @@
             if view is not None
             else []
         )
-        detail = "this node is cut off; other addresses: " + ", ".join(elsewhere[:3])
+        detail = "this node is cut off; other addresses: " + ", ".join(
+            other_addresses[:3]
+        )
         retry_at_ms = now_ms() + self._settings.timings.heartbeat_ms
         raise RefusedError(ErrorResponse(503, "unfit", detail, retry_at_ms=retry_at_ms))
 
@@ -275,23 +277,23 @@
     async def _run(
         self, request: web.BaseRequest, call: CallerRequest, spent: Spent
     ) -> web.StreamResponse:
-        begun = await self._begin_operation(request, call)
-        if isinstance(begun, StoredResponse):
+        begin_result = await self._begin_operation(request, call)
+        if isinstance(begin_result, StoredResponse):
             self._rates.refund(call.customer, spent)
-            return repeated_response(begun, call.request)
-        if isinstance(begun, RequestFailure):
+            return repeated_response(begin_result, call.request)
+        if isinstance(begin_result, RequestFailure):
             self._rates.refund(call.customer, spent)
-            raise RefusedError(error_responses.failure_response(begun))
-        by_ms = None if begun is None else begun.dispatch_by_ms
-        state = HandOverState(call, dispatch_by_ms=by_ms)
+            raise RefusedError(error_responses.failure_response(begin_result))
+        dispatch_by_ms = None if begin_result is None else begin_result.dispatch_by_ms
+        state = HandOverState(call, dispatch_by_ms=dispatch_by_ms)
         try:
             result = await self._hand_over.run(state)
             if not isinstance(result, RequestFailure):
-                return await self._respond(request, call, result, begun)
+                return await self._respond(request, call, result, begin_result)
             if result.outcome is Outcome.NOT_RUN:
                 self._rates.refund(call.customer, spent)
-                if begun is not None:
-                    self._operations.report_released(begun)
+                if begin_result is not None:
+                    self._operations.report_released(begin_result)
             raise RefusedError(error_responses.failure_response(result))
         finally:
             await state.close()
@@ -301,13 +303,13 @@
         request: web.BaseRequest,
         call: CallerRequest,
         result: CoordinatorResponse,
-        begun: OperationGrant | None,
+        grant: OperationGrant | None,
     ) -> web.StreamResponse:
-        if begun is None:
+        if grant is None:
             return await relay_response(request, call.request, result, None)
         recorder = ResponseRecorder(self._settings.limits.answer_kept_bytes)
         response = await relay_response(request, call.request, result, recorder)
-        self._operations.report_finished(begun, recorder.stored_response(result))
+        self._operations.report_finished(grant, recorder.stored_response(result))
         return response
 
     async def _begin_operation(
--- a/src/crocusspindle/services/follower.py
+++ b/src/crocusspindle/services/follower.py
@@ -188,7 +188,7 @@
             self._control.record_platform_read(began_ms)
 
     async def catch_up(self) -> None:
-        """Read the ticket log now, if the platform answers."""
+        """Read the ticket log now, if the platform is reachable."""
         with suppress(PlatformError):
             await self._read_tickets()
 
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -53,8 +53,8 @@
 SERVER_ERROR: Final = 500
 RETRY_MS: Final = 1_000.0
 DECLINE_MS: Final = 5_000.0
-"""The interval at which health evaluation repeats a suspicion of the group. By then a
-broken path shows in the heartbeats, or works again."""
+"""Health evaluation reports a suspected group again at this interval. By then a broken
+path shows in the heartbeats, or works again."""
 
 HEALTH_CHECK_INTERVAL_S: Final = 0.1
 """Detection within 2 s needs frequent checks of the age of running attempts; ten a
@@ -62,7 +62,7 @@
 
 
 class DispatchPermissions(Protocol):
-    """Tell what this node may dispatch at this moment."""
+    """Report whether this node may dispatch now, and for whom."""
 
     def is_eligible(self) -> bool:
         """Return True if the node may take new requests now."""
@@ -106,7 +106,7 @@
         self._outstanding: dict[TargetId, dict[AttemptId, float]] = {}
         self.declines_until_ms = 0.0
         self._results: dict[AttemptId, AttemptResult] = {}
-        self._side_tasks: set[asyncio.Task[None]] = set()
+        self._opinion_tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._health_task = asyncio.create_task(self._watch_health())
 
@@ -114,7 +114,7 @@
         """Cancel all attempts and tasks."""
         if self._timer is not None:
             self._timer.cancel()
-        tasks = [self._health_task, *self._attempts.values(), *self._side_tasks]
+        tasks = [self._health_task, *self._attempts.values(), *self._opinion_tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -171,10 +171,10 @@
 
     def _execute(self, decisions: Iterable[Decision]) -> None:
         for decision in decisions:
-            self._execute_one(decision)
+            self._execute_decision(decision)
         self._arm_timer()
 
-    def _execute_one(self, decision: Decision) -> None:
+    def _execute_decision(self, decision: Decision) -> None:
         match decision:
             case Dispatch():
                 self._meter.began(decision.request, decision.attempt, now_ms())
@@ -348,8 +348,8 @@
                 self.declines_until_ms = now_ms() + DECLINE_MS
             if isinstance(change, SecondOpinionWanted):
                 task = asyncio.create_task(self._request_opinion(change.target))
-                self._side_tasks.add(task)
-                task.add_done_callback(self._side_tasks.discard)
+                self._opinion_tasks.add(task)
+                task.add_done_callback(self._opinion_tasks.discard)
 
     async def _request_opinion(self, target: TargetId) -> None:
         # Without a peer's reply, health evaluation times out waiting and decides on
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -110,7 +110,7 @@
 
     call: CallerRequest
     dispatch_by_ms: float | None = None
-    """Until when the first attempt of a named operation may begin."""
+    """Deadline until which the first attempt of a named operation may begin."""
     group: Group | None = None
     begun_elsewhere: bool = False
     """Whether a lost coordinator may have run the request, or may still run it."""
@@ -161,7 +161,7 @@
         self._avoided_until_ms: dict[MemberId, float] = {}
         self._chooser = GroupChooser(random.Random())
         self._ranked_view = ViewNumber(0)
-        self._ranks: dict[bytes, list[MemberId]] = {}
+        self._ranked_members: dict[bytes, list[MemberId]] = {}
 
     async def run(self, state: HandOverState) -> CoordinatorResponse | RequestFailure:
         """Return the response's head, or the failure, by the deadline.
@@ -231,11 +231,11 @@
         """Return the members in the group's rendezvous order, cached for each view."""
         if self._ranked_view != view.number:
             self._ranked_view = view.number
-            self._ranks.clear()
-        ranked = self._ranks.get(group.key)
+            self._ranked_members.clear()
+        ranked = self._ranked_members.get(group.key)
         if ranked is None:
             ranked = order(group.key, view.names)[:MAX_RANKED_MEMBERS]
-            self._ranks[group.key] = ranked
+            self._ranked_members[group.key] = ranked
         return ranked
 
     async def _open(self, state: HandOverState, coordinator: MemberId) -> EntryLink:
@@ -297,10 +297,10 @@
 
     def _update_load(self, state: HandOverState, load: wire.Load) -> None:
         if state.group is not None:
-            load_seen = CoordinatorLoad(
+            reported_load = CoordinatorLoad(
                 load.queued, load.running, load.slots, load.wait_ms
             )
-            self._chooser.update_load(state.group, load_seen)
+            self._chooser.update_load(state.group, reported_load)
 
     async def _grant(
         self, state: HandOverState, link: EntryLink
@@ -330,8 +330,8 @@
 
 
 async def _send_body(call: CallerRequest, link: EntryLink) -> None:
-    for first in range(0, len(call.body), CHUNK_BYTES):
-        chunk = call.body[first : first + CHUNK_BYTES]
+    for offset in range(0, len(call.body), CHUNK_BYTES):
+        chunk = call.body[offset : offset + CHUNK_BYTES]
         await link.send(wire.HandOverFrame(chunk=chunk))
     if call.body_rest is not None:
         async for rest_chunk in call.body_rest:
--- a/src/crocusspindle/services/handed_over_request.py
+++ b/src/crocusspindle/services/handed_over_request.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class ResponseReceived:
-    """Hold a target's response and the outcome that the caller is told."""
+    """Hold a target's response and the outcome reported to the caller."""
 
     response: TargetResponse
     outcome: Outcome | None
@@ -85,7 +85,7 @@
         return self.head.idempotent and (self.head.body_whole or not self.head.has_body)
 
     async def read(self) -> None:
-        """Process frames until the entry withdraws; raise ``PeerError`` on a loss."""
+        """Process frames until the entry withdraws; raise ``PeerError`` if lost."""
         while True:
             frame = await self.link.receive()
             kind = frame.WhichOneof("frame")
--- a/src/crocusspindle/services/ledger.py
+++ b/src/crocusspindle/services/ledger.py
@@ -249,7 +249,8 @@
             task.add_done_callback(self._settlement_tasks.discard)
 
     async def _send_settlement(self, settlement: Settlement) -> None:
-        # Best effort: a lost message leaves a record that refuses and never runs.
+        # Best effort: if a message is lost, the record stays begun, so a repeated
+        # operation is refused and never runs again.
         if settlement.peer is not None:
             with suppress(*PEER_FAILURES):
                 async with asyncio.timeout(RECORD_TIMEOUT_S):
--- a/src/crocusspindle/services/operations.py
+++ b/src/crocusspindle/services/operations.py
@@ -188,11 +188,11 @@
 
 
 def fingerprint_of(method: str, path: str, body: bytes) -> bytes:
-    """Return a digest that tells two requests under one key apart."""
+    """Return a digest that distinguishes two requests under one key."""
     digest = hashlib.sha256()
-    for part in (method.encode(), path.encode(), body):
-        digest.update(len(part).to_bytes(8, "big"))
-        digest.update(part)
+    for field in (method.encode(), path.encode(), body):
+        digest.update(len(field).to_bytes(8, "big"))
+        digest.update(field)
     return digest.digest()
 
 
@@ -206,8 +206,8 @@
             return wire.BeginReply(already_ran=response_message(response))
         case NotRun():
             # "Not run" is correct only if the decision covers earlier attempts, too.
-            known = Outcome.NOT_RUN if decision.covers_earlier else Outcome.UNKNOWN
-            return _withheld_reply(known, NOT_NOW, decision.retry_at_ms)
+            outcome = Outcome.NOT_RUN if decision.covers_earlier else Outcome.UNKNOWN
+            return _withheld_reply(outcome, NOT_NOW, decision.retry_at_ms)
         case InProgress(retry_at_ms):
             return _withheld_reply(
                 Outcome.UNKNOWN, "operation-in-progress", retry_at_ms
--- a/src/crocusspindle/services/operator_rights.py
+++ b/src/crocusspindle/services/operator_rights.py
@@ -19,11 +19,11 @@
     digest byte by byte by timing refusals.
     """
     digest = hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
-    found = None
+    matching = None
     for principal in principals:
         if hmac.compare_digest(principal.key_sha256, digest):
-            found = principal
-    return found
+            matching = principal
+    return matching
 
 
 def check_rights(principal: Principal, summary: TicketSummary) -> list[Finding]:
--- a/src/crocusspindle/services/peers.py
+++ b/src/crocusspindle/services/peers.py
@@ -123,8 +123,8 @@
         """Connect to exactly these members, except this node itself."""
         by_member = {member.member: member for member in members}
         by_member.pop(self.own_member, None)
-        for left in self._peers.keys() - by_member.keys():
-            self._disconnect(self._peers.pop(left))
+        for removed_member in self._peers.keys() - by_member.keys():
+            self._disconnect(self._peers.pop(removed_member))
         for name in by_member.keys() - self._peers.keys():
             peer = Peer(by_member[name], self._connect(by_member[name].peer_address))
             self._peers[name] = peer
@@ -198,12 +198,16 @@
         peer.channel.close()
 
     async def _run_heartbeats(self, peer: Peer) -> None:
-        # A connection can fall silent while new ones work, so after the deadline of an
-        # echo it is replaced; each request on it then moves or fails.
-        #
-        # A call that is cancelled while its connection closes raises the library's own
-        # error, which hides the cancellation. Without the check in each round the loop
-        # would go on, and the process would exit with a failure ten seconds late.
+        """Exchange heartbeats with a peer until it is removed.
+
+        A connection can fall silent while new ones work, so one without an echo in time
+        is replaced; each request on it then moves or fails.
+
+        A call that is cancelled while its connection closes raises the library's own
+        error, which hides the cancellation. So each round checks that the peer is still
+        followed: otherwise the loop would go on, and the process would exit with a
+        failure ten seconds late.
+        """
         while self._peers.get(peer.member.member) is peer:
             with suppress(*PEER_FAILURES):
                 await self._run_heartbeat_stream(peer)
--- a/src/crocusspindle/services/platform_service.py
+++ b/src/crocusspindle/services/platform_service.py
@@ -40,8 +40,8 @@
         deadline_ms: float,
     ) -> PutResult:
         """Write a row if its version is the expected one."""
-        writing = self._adapter.put(table, key, value, expected_version, deadline_ms)
-        return await self._measure("put", writing)
+        call = self._adapter.put(table, key, value, expected_version, deadline_ms)
+        return await self._measure("put", call)
 
     async def delete(
         self, table: str, key: str, expected_version: int, deadline_ms: float
@@ -54,18 +54,18 @@
         self, table: str, after_key: str, limit: int, deadline_ms: float
     ) -> Sequence[Row]:
         """Return at most ``limit`` rows with keys above ``after_key``, in order."""
-        reading = self._adapter.read_range(table, after_key, limit, deadline_ms)
-        return await self._measure("read_range", reading)
+        call = self._adapter.read_range(table, after_key, limit, deadline_ms)
+        return await self._measure("read_range", call)
 
     async def get_object(self, name: str, deadline_ms: float) -> bytes | None:
         """Return a stored object, or None if it does not exist."""
-        reading = self._adapter.get_object(name, deadline_ms)
-        return await self._measure("get_object", reading)
+        call = self._adapter.get_object(name, deadline_ms)
+        return await self._measure("get_object", call)
 
     async def put_object(self, name: str, content: bytes, deadline_ms: float) -> None:
         """Store an object, replacing an older one."""
-        writing = self._adapter.put_object(name, content, deadline_ms)
-        await self._measure("put_object", writing)
+        call = self._adapter.put_object(name, content, deadline_ms)
+        await self._measure("put_object", call)
 
     async def hosts(self, deadline_ms: float) -> Sequence[Target]:
         """Return the list of live and leaving target hosts, which may lag."""
@@ -75,7 +75,7 @@
         began_ms = now_ms()
         result = "failed"
         try:
-            found = await work
+            returned = await work
             result = "ok"
         except PlatformUnavailableError:
             result = "unavailable"
@@ -87,4 +87,4 @@
             self._metrics.add(instruments.PLATFORM_CALLS, call=call, result=result)
             elapsed_ms = now_ms() - began_ms
             self._metrics.record(instruments.PLATFORM_CALL_MS, elapsed_ms, call=call)
-        return found
+        return returned
--- a/src/crocusspindle/services/ports.py
+++ b/src/crocusspindle/services/ports.py
@@ -42,14 +42,14 @@
 from crocusspindle.wire import fleet_pb2 as wire
 from crocusspindle.wire.fleet_grpc import FleetBase
 
-Asked = TypeVar("Asked")
+RequestMessage = TypeVar("RequestMessage")
 
 BUSY_POLL_S: Final = 0.05
 MAX_TAIL_TICKETS: Final = 500
 
 
 class PeerServer(FleetBase):
-    """Answer the calls of other nodes."""
+    """Serve the calls of other nodes."""
 
     def __init__(
         self,
@@ -196,7 +196,7 @@
     return OperationName(CustomerId(message.customer), OperationKey(message.key))
 
 
-async def _receive_message(stream: Stream[Asked, Any]) -> Asked:
+async def _receive_message(stream: Stream[RequestMessage, Any]) -> RequestMessage:
     message = await stream.recv_message()
     if message is None:
         raise GRPCError(Status.INVALID_ARGUMENT, "the request is missing")
@@ -213,12 +213,12 @@
         self,
         listening_socket: socket.socket,
         server: PeerServer,
-        fleet_key_proof: str,
+        credential: str,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self._socket = listening_socket
         self._server = Server([server], config=wire_configuration())
-        self._fleet_key_proof = fleet_key_proof
+        self._credential = credential
         self._tls = tls
 
     async def start(self) -> None:
@@ -232,10 +232,8 @@
         await self._server.wait_closed()
 
     async def _check(self, event: RecvRequest) -> None:
-        presented_proof = str(event.metadata.get(FLEET_KEY_HEADER, ""))
-        if not hmac.compare_digest(
-            presented_proof.encode(), self._fleet_key_proof.encode()
-        ):
+        presented = str(event.metadata.get(FLEET_KEY_HEADER, ""))
+        if not hmac.compare_digest(presented.encode(), self._credential.encode()):
             raise GRPCError(Status.UNAUTHENTICATED, "not a node of this fleet")
 
 
@@ -277,7 +275,7 @@
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         # Each open connection holds memory. Above the limit a caller is refused and
-        # goes elsewhere, before the node runs out of memory.
+        # can use another address, before the node runs out of memory.
         if self.connections > self._settings.max_connections:
             response = error_responses.TOO_MANY_CONNECTIONS.response("none")
             response.force_close()
@@ -299,7 +297,7 @@
 
 
 class HttpPort(Service):
-    """Serve an application of operators or of the metrics scraper."""
+    """Serve an HTTP application: the operators' API or the metrics."""
 
     name = "http_port"
 
--- a/src/crocusspindle/services/targets.py
+++ b/src/crocusspindle/services/targets.py
@@ -21,7 +21,7 @@
 
 CONNECT_TIMEOUT_S: Final = 0.3
 """A new connection takes about 1 ms; a lost first packet is resent after 200 ms. After
-a longer time the target is taken as unreachable, and another one costs less."""
+a longer time the target counts as unreachable, and another one costs less."""
 
 RESPONSE_BUFFER_BYTES: Final = 65_536
 """A response up to this size is buffered before any of it is passed on, so that a
@@ -91,7 +91,7 @@
     """Send attempts to targets, each on a new connection.
 
     A reused connection can deliver a late or duplicated response of the previous
-    request, or be dead without notice. Either gives a caller a wrong response or
+    request, or be broken without notice. Either gives a caller a wrong response or
     none. A new connection costs about 1 ms and can do neither.
     """
 
