--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -12,10 +12,10 @@
 from crocusspindle_standins.fleet import Fleet, Layout, TargetGroup, sha256
 from crocusspindle_standins.single_attempt import single_attempt_session
 
-SHARES_OPEN_S = 10.0
+SHARES_ACTIVE_S = 10.0
 SHARES_FILL_S = 1.0
 KEY = "key-of-the-caller"
-QUICK = {
+QUICK_TIMINGS = {
     "where_max_age_ms": 2000,
     "drain_ms": 10000,
     "heartbeat_ms": 250,
@@ -93,7 +93,7 @@
 
     async def until_served(self, node: int = 0) -> None:
         """Wait until the customer's shares are active and a request is served."""
-        async with asyncio.timeout(SHARES_OPEN_S * 3):
+        async with asyncio.timeout(SHARES_ACTIVE_S * 3):
             while (await self.send(node))[0] != 200:
                 await asyncio.sleep(0.2)
 
@@ -134,7 +134,7 @@
                 nodes,
                 3,
                 (group or TargetGroup("desk", 4, 4, 5.0),),
-                QUICK | (timings or {}),
+                QUICK_TIMINGS | (timings or {}),
                 relayed,
             )
             fleet = await stack.enter_async_context(Fleet(layout, tmp_path))
--- a/tests/fleet/test_keys.py
+++ b/tests/fleet/test_keys.py
@@ -47,8 +47,8 @@
     )
 
 
-@pytest.mark.parametrize("take_back", [withdraw, withdraw_approval])
-async def test_a_withdrawn_key_stops_on_queued_requests(start_fleet, take_back):
+@pytest.mark.parametrize("withdraw_access", [withdraw, withdraw_approval])
+async def test_a_withdrawn_key_stops_on_queued_requests(start_fleet, withdraw_access):
     """Requests are queued when their key, or the owner's approval, is withdrawn.
 
     None of them may run later.
@@ -62,7 +62,7 @@
         for n in range(6)
     ]
     await asyncio.sleep(0.3)
-    await take_back(caller)
+    await withdraw_access(caller)
     responses = await asyncio.gather(*tasks)
     refused = [n for n, (_, outcome, _) in enumerate(responses) if outcome == "not-run"]
     assert len(refused) >= 4
--- a/tests/fleet/test_operations_run_once.py
+++ b/tests/fleet/test_operations_run_once.py
@@ -121,7 +121,7 @@
 async def test_the_tables_response_is_lost_after_the_write(start_fleet):
     """The platform writes an order's row, and the connection fails before its response.
 
-    Treated as a failure, the order would be lost. With the row taken for another
+    Treated as a failure, the order would be lost. If the row counted as another
     attempt's, the order would be refused as running for ever.
     """
     caller = await start_fleet()
--- a/tests/fleet/test_rates.py
+++ b/tests/fleet/test_rates.py
@@ -59,10 +59,10 @@
 
 @pytest.mark.parametrize("kind", ["kill", "pause", "outage"])
 async def test_a_lost_holder_adds_no_tokens(start_fleet, kind):
-    """A holder of a customer's share is killed, is paused past its lease, or is
-    killed while the platform is unreachable.
+    """A holder of a customer's share is killed or paused past its lease.
 
-    The member that takes its share over must not spend what the holder may still spend.
+    In the case "outage" it is killed while the platform is unreachable. The member that
+    receives its share must not spend what the holder may still spend.
     """
     caller = await start_fleet(nodes=5, rate_per_s=20.0, burst=20)
     records = []
--- a/tests/fleet/test_responses.py
+++ b/tests/fleet/test_responses.py
@@ -7,7 +7,7 @@
 async def test_crossed_and_truncated_responses_reach_no_caller(start_fleet):
     """Targets send another request's response, or close in the middle of one.
 
-    A caller would take another customer's data, or a partial response, for its own.
+    A caller would accept another customer's data, or a partial response, as its own.
     """
     caller = await start_fleet()
     for target in caller.fleet.targets:
--- a/tests/fleet/test_tickets.py
+++ b/tests/fleet/test_tickets.py
@@ -30,14 +30,14 @@
     """
     caller = await start_fleet()
     for number in range(3, 9):
-        found = await asyncio.gather(
+        statuses = await asyncio.gather(
             *(
                 status_of(caller, node, document(number, f"rival-{number}-{node}"))
                 for node in range(3)
             )
         )
-        assert found.count(200) == 1
-        assert all(status in (200, 409, 503) for status in found)
+        assert statuses.count(200) == 1
+        assert all(status in (200, 409, 503) for status in statuses)
     await caller.fleet.until_in_force(8, caller.fleet.nodes)
     counts = {
         (await caller.fleet.status(node))["counts"]["customers"]
@@ -78,8 +78,8 @@
     await caller.fleet.until_in_force(number, caller.fleet.nodes[:2])
     await asyncio.sleep(4)
     paused.running.signal(signal.SIGCONT)
-    found = [(await caller.send(2))[0] for _ in range(20)]
-    assert 200 not in found
+    statuses = [(await caller.send(2))[0] for _ in range(20)]
+    assert 200 not in statuses
     await caller.fleet.until_in_force(number, caller.fleet.nodes)
     for node in range(3):
         assert (await caller.send(node))[0] == 401
@@ -94,7 +94,7 @@
     caller.fleet.kill(node)
     await node.running.wait(5)
     await caller.fleet.start_node(node)
-    found = {(await caller.send(2))[0] for _ in range(5)}
-    assert found <= {401, 503}
+    statuses = {(await caller.send(2))[0] for _ in range(5)}
+    assert statuses <= {401, 503}
     await caller.fleet.platform(mode="up")
     await caller.until_served(2)
--- a/tests/product/certificates.py
+++ b/tests/product/certificates.py
@@ -17,7 +17,7 @@
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
 
-def make(name, authority=None):
+def make_certificate(name, authority=None):
     """Return a key and a certificate, self-signed or signed by a CA."""
     key = ec.generate_private_key(ec.SECP256R1())
     issuer_key, issuer = authority or (key, None)
@@ -36,7 +36,7 @@
     return key, certificate
 
 
-def write(folder, pair, stem="node"):
+def write_pem_files(folder, pair, stem="node"):
     """Write a pair to two PEM files and return their paths."""
     key, certificate = pair
     certificate_file, key_file = folder / f"{stem}.pem", folder / f"{stem}.key"
--- a/tests/product/test_tls.py
+++ b/tests/product/test_tls.py
@@ -8,13 +8,13 @@
 from crocusspindle.errors import SettingsError
 from crocusspindle.settings_schema import PeerTlsSettings, TlsSettings
 from crocusspindle.tls import CertificateReloader, peer_client_context, server_context
-from tests.product.certificates import make, write
+from tests.product.certificates import make_certificate, write_pem_files
 
 
 @pytest.fixture
 def authority(tmp_path):
-    pair = make("authority")
-    write(tmp_path, pair, "ca")
+    pair = make_certificate("authority")
+    write_pem_files(tmp_path, pair, "ca")
     return pair
 
 
@@ -43,7 +43,7 @@
     In between, the two do not match. Handshakes must use the old certificate until
     both files are replaced, then the new one, and none may fail.
     """
-    files = write(tmp_path, make("old"))
+    files = write_pem_files(tmp_path, make_certificate("old"))
     watched = server_context(TlsSettings(certificate_file=files[0], key_file=files[1]))
     reloader = CertificateReloader([watched])
     unverified = ssl.create_default_context()
@@ -52,7 +52,7 @@
     assert await handshake_name(port, unverified) == "old"
 
     (tmp_path / "later").mkdir()
-    new_files = write(tmp_path / "later", make("new"))
+    new_files = write_pem_files(tmp_path / "later", make_certificate("new"))
     new_files[0].rename(files[0])
     reloader.reload_changed()
     assert await handshake_name(port, unverified) == "old"
@@ -71,26 +71,26 @@
     """
 
     def settings(stem, pair):
-        certificate_file, key_file = write(tmp_path, pair, stem)
+        certificate_file, key_file = write_pem_files(tmp_path, pair, stem)
         return PeerTlsSettings(
             certificate_file=certificate_file,
             key_file=key_file,
             ca_file=tmp_path / "ca.pem",
         )
 
-    node = settings("a1", make("a1", authority))
+    node = settings("a1", make_certificate("a1", authority))
     server, port = await serve(server_context(node).context)
-    peer = settings("a2", make("a2", authority))
+    peer = settings("a2", make_certificate("a2", authority))
     assert await handshake_name(port, peer_client_context(peer).context) == "a1"
-    outsider = settings("b1", make("b1"))
+    outsider = settings("b1", make_certificate("b1"))
     with pytest.raises((ssl.SSLError, ConnectionError, AssertionError)):
         await handshake_name(port, peer_client_context(outsider).context)
     server.close()
 
 
 def test_mismatched_certificate_and_key_are_a_finding(tmp_path):
-    certificate_file, _ = write(tmp_path, make("a"))
-    _, key_file = write(tmp_path, make("b"), "other")
+    certificate_file, _ = write_pem_files(tmp_path, make_certificate("a"))
+    _, key_file = write_pem_files(tmp_path, make_certificate("b"), "other")
     with pytest.raises(SettingsError, match="tls"):
         server_context(
             TlsSettings(certificate_file=certificate_file, key_file=key_file)
--- a/tests/product/test_tls_fleet.py
+++ b/tests/product/test_tls_fleet.py
@@ -12,7 +12,7 @@
 from crocusspindle.settings import check_settings
 from crocusspindle_standins.platform import PlatformServer
 from crocusspindle_standins.processes import free_ports
-from tests.product.certificates import make, write
+from tests.product.certificates import make_certificate, write_pem_files
 
 CONVERGENCE_TIMEOUT_S = 30
 KEY = "operator-key-of-the-test"
@@ -38,15 +38,15 @@
 @contextlib.asynccontextmanager
 async def two_nodes(folder):
     """Run two nodes with one CA; yield the first one's settings and the CA file."""
-    authority = make("authority")
-    ca_file, _ = write(folder, authority, "ca")
+    authority = make_certificate("authority")
+    ca_file, _ = write_pem_files(folder, authority, "ca")
     key_file = folder / "fleet.key"
     key_file.write_text("fleet-key-of-the-test")
     ports = free_ports(6)
     async with TestServer(PlatformServer().app()) as platform:
         settings, kernels = [], []
         for name, node_ports in (("a1", ports[:3]), ("b1", ports[3:])):
-            pair = write(folder, make(name, authority), name)
+            pair = write_pem_files(folder, make_certificate(name, authority), name)
             files = (*pair, ca_file, key_file)
             settings.append(make_settings(name, node_ports, files, platform))
             kernels.append(build(settings[-1]))
