--- a/tests/services/test_peers.py
+++ b/tests/services/test_peers.py
@@ -34,7 +34,7 @@
     the time limit of its stop, and its operator would see a failed exit.
     """
     peers = PeersWithFailingCancellation(
-        MemberId("a@1"), "credential", TimingSettings(heartbeat_ms=1), None
+        MemberId("a@1"), "proof", TimingSettings(heartbeat_ms=1), None
     )
     member = ViewMember(
         MemberId("b@1"), DomainId("x"), "r", "127.0.0.1:1", "127.0.0.1:2", 0
