--- a/src/crocusspindle/services/control.py
+++ b/src/crocusspindle/services/control.py
@@ -110,8 +110,8 @@
     ) -> None:
         """Register callbacks for applied tickets, new views and new host lists.
 
-        ``behind`` is called with a peer that has applied later tickets or views than
-        this node, ``old_targets`` with a peer that holds a newer host list.
+        ``newer_peer`` is called with a peer that has applied later tickets or views
+        than this node, ``newer_targets`` with one that holds a newer host list.
         """
         if change is not None:
             self._on_change.append(change)
--- a/src/crocusspindle/unpack.py
+++ b/src/crocusspindle/unpack.py
@@ -21,6 +21,7 @@
 DIGEST_FILE: Final = "DIGEST"
 PYTHON: Final = (3, 11)
 SETTINGS_COMMANDS: Final = ("node", "check-settings", "check_settings")
+# The values of ExitCode.USAGE and ExitCode.FINDINGS.
 USAGE: Final = 2
 FINDINGS: Final = 3
 
