--- a/src/crocusspindle/gateway/attempt_runner.py
+++ b/src/crocusspindle/gateway/attempt_runner.py
@@ -23,8 +23,9 @@
 often enough, and a request whose target hangs has no other way to complete."""
 
 MAX_TARGETS_TRIED: Final = 4
-"""Targets that may refuse a request or be unreachable before the caller is told that it
-was not run. If half of the targets refuse, one request in sixteen meets four."""
+"""Targets tried that refuse a request or are unreachable, before the caller gets the
+response that it was not run. If half of them refuse, one request in sixteen meets
+four."""
 
 
 class AttemptRunner:
@@ -114,7 +115,7 @@
     async def _attempt_with_hedge(
         self, context: RequestContext, placement: Placement, service: ServiceId
     ) -> AttemptResult:
-        """Send; hedge to a second target if an idempotent request stays unanswered."""
+        """Send; hedge to a second target if an idempotent request gets no response."""
         first = asyncio.create_task(self._attempt(context, placement))
         second: asyncio.Task[AttemptResult] | None = None
         try:
--- a/src/crocusspindle/gateway/caller_port.py
+++ b/src/crocusspindle/gateway/caller_port.py
@@ -27,11 +27,11 @@
 MAX_HEADERS: Final = 256
 
 TIMER_EARLY_S: Final = 0.002
-"""The event loop counts in milliseconds and calls some timers up to one early."""
+"""The event loop counts in milliseconds and calls some timers up to 1 ms early."""
 
 MAX_STARTED_EARLY: Final = 8
 """Pipelined requests of one connection that are started early. The limit keeps one
-caller from taking the slots of many others."""
+caller from occupying the slots of many others."""
 
 
 class CallerProtocol(web.RequestHandler):
@@ -84,14 +84,14 @@
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Start pipelined requests that have to wait for their turn."""
+        """Start pipelined requests that wait behind others."""
         super().data_received(data)
         if self._messages and not self._close_pending:
             self._start_waiting()
 
     def _start_waiting(self) -> None:
-        # All requests ahead must be plain too: one whose response closes the connection
-        # would leave requests that were already forwarded without a response.
+        # All requests ahead must be plain GETs too: one whose response closes the
+        # connection would leave forwarded requests behind it without a response.
         waiting = list(self._messages)
         if self._current_request is None:
             first, waiting = waiting[:1], waiting[1:]
@@ -125,8 +125,8 @@
         self, request: web.BaseRequest
     ) -> asyncio.Task[ProcessedRequest] | None:
         """Remove and return the task of a request that was started early."""
-        found = self._started_early.pop(id(request._message), None)
-        return None if found is None else found[1]
+        started = self._started_early.pop(id(request._message), None)
+        return None if started is None else started[1]
 
     @property
     def has_started_requests(self) -> bool:
@@ -134,9 +134,8 @@
         return bool(self._started_early)
 
     def _process_keepalive(self) -> None:
-        # The HTTP library sets a timer that fires early again for the same time,
-        # a thousand times in the last millisecond of an idle connection, which costs
-        # half of the connections a millisecond of processor time.
+        # The library sets a timer that fired early again for the same time, a thousand
+        # times: half of the idle connections end with a millisecond of processor time.
         early_s = self._next_keepalive_close_time - asyncio.get_running_loop().time()
         if 0.0 < early_s < TIMER_EARLY_S:
             loop = asyncio.get_running_loop()
@@ -157,7 +156,7 @@
         super().close()
 
     def record_response_sent(self) -> None:
-        """Record a sent response; close if it is the last one awaited."""
+        """Record a sent response; complete a pending close after the last one."""
         if self._close_pending and not self._started_early:
             super().close()
 
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -68,16 +68,16 @@
         """Record what a service's placer observed, and publish the changed records."""
         changed: dict[ContentDigest, CrashRecord] = {}
         table = self._fleet_state.crashes
-        for seen in watch.reports():
+        for report in watch.reports():
             self._metrics.add(instruments.CRASHES, service=service)
             log_state_change(
                 self._log,
                 "target crashed",
                 service=service,
-                target=seen.target,
-                contents=sorted(seen.contents),
+                target=report.target,
+                contents=sorted(report.contents),
             )
-            changed |= {r.content: r for r in table.record_crash(seen, wall_ms())}
+            changed |= {r.content: r for r in table.record_crash(report, wall_ms())}
         for content in watch.answered():
             cleared = table.clear(content, wall_ms())
             if cleared is not None:
--- a/src/crocusspindle/gateway/dialect.py
+++ b/src/crocusspindle/gateway/dialect.py
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True)
 class Dialect:
-    """Hold header names, paths and the encoder of the response with entry addresses.
+    """Hold header names, paths, and the functions that parse and encode their content.
 
     `target_limit_per_s` reads from a response's headers the requests per second that
     its target accepts from the whole fleet, None if there is no such header. It raises
--- a/src/crocusspindle/gateway/document_deltas.py
+++ b/src/crocusspindle/gateway/document_deltas.py
@@ -56,7 +56,7 @@
         try:
             return _decompressed(data, self._encodings.get(base, b""))
         except zstandard.ZstdError:
-            # The same key stands for another encoding here; a request gets a full one.
+            # The same key has another encoding here; the next request gets a full one.
             return None
 
 
--- a/src/crocusspindle/gateway/entry.py
+++ b/src/crocusspindle/gateway/entry.py
@@ -89,8 +89,9 @@
     ) -> asyncio.Task[ProcessedRequest] | None:
         """Start a pipelined request before the responses ahead of it are sent.
 
-        Return None for a non-idempotent request, which must not start early: its
-        connection may still close before its turn, and the caller takes it for unread.
+        Return None for a non-idempotent request, which must not start early: if its
+        connection closes before the responses ahead, the caller assumes that the
+        request was not read.
         """
         if self.leaving or not self._admission.is_idempotent(request):
             return None
@@ -152,7 +153,7 @@
                 refusal = error
         assert refusal is not None
         if context is not None:
-            refusal.context_fields = self._fields(context)
+            refusal.context_fields = self._log_fields(context)
         self._metrics.add(instruments.REFUSED, reason=refusal.reason)
         self._log_refusal(processed, refusal)
         return refusal_response(refusal, processed.request_id, self._dialect)
@@ -173,7 +174,7 @@
         self, request: web.BaseRequest, context: RequestContext, result: AttemptResult
     ) -> web.StreamResponse:
         if result.target_response is None:
-            raise _failure(context, result)
+            raise _refusal_after(context, result)
         response = await send_target_response(
             request, result.target_response, context.deadline_ms
         )
@@ -184,7 +185,7 @@
         self._log_end(context, str(response.status))
         return response
 
-    def _fields(self, context: RequestContext) -> dict[str, object]:
+    def _log_fields(self, context: RequestContext) -> dict[str, object]:
         configuration = self._fleet_state.configuration
         return {
             "route": context.route.name,
@@ -211,7 +212,7 @@
                 "request": context.request_id,
                 "outcome": outcome,
                 "took_ms": round(now_ms() - context.began_ms),
-                **self._fields(context),
+                **self._log_fields(context),
             },
         )
 
@@ -232,7 +233,7 @@
         )
 
 
-def _failure(context: RequestContext, result: AttemptResult) -> Refusal:
+def _refusal_after(context: RequestContext, result: AttemptResult) -> Refusal:
     if not context.may_have_run:
         return Refusal(503, f"target-{result.outcome.value}", 200.0)
     if result.outcome is AttemptOutcome.SILENT:
--- a/src/crocusspindle/gateway/exchange.py
+++ b/src/crocusspindle/gateway/exchange.py
@@ -28,7 +28,7 @@
 a busy signal while the response may still be in flight."""
 
 LARGE_RESEND_S: Final = 0.5
-"""After this a large response counts as lost and is sent again for a copy."""
+"""After this a large response counts as lost; the next copy of its request gets it."""
 
 RESPONSES_KEPT: Final = 4_096
 """Responses kept to deduplicate requests: those of some seconds on a busy node."""
--- a/src/crocusspindle/gateway/fleet_state.py
+++ b/src/crocusspindle/gateway/fleet_state.py
@@ -104,11 +104,11 @@
         """Wait for the first list of targets just after the start."""
         await self._wait_for_first(self._listed)
 
-    async def _wait_for_first(self, known: asyncio.Event) -> None:
+    async def _wait_for_first(self, available: asyncio.Event) -> None:
         left_ms = self.started_ms + FIRST_READ_MS - now_ms()
-        if left_ms > 0 and not known.is_set():
+        if left_ms > 0 and not available.is_set():
             with suppress(TimeoutError):
-                await asyncio.wait_for(known.wait(), left_ms / 1e3)
+                await asyncio.wait_for(available.wait(), left_ms / 1e3)
 
     def update_configuration(self, value: bytes, confirmed_at_ms: float) -> None:
         """Apply a configuration document of the platform, unless it is invalid."""
@@ -265,9 +265,9 @@
         config, targets, view = self.configuration, self.targets, self.view
         newer = config.version > held.configuration_version
         # A node that has just started holds nothing yet and must send no empty list.
-        other_targets = self.targets_digest not in (held.targets_digest, NO_DIGEST)
-        other_crashes = self.crash_digest not in (held.crash_digest, NO_DIGEST)
-        other_open = self.open_digest not in (held.open_digest, NO_DIGEST)
+        targets_differ = self.targets_digest not in (held.targets_digest, NO_DIGEST)
+        crashes_differ = self.crash_digest not in (held.crash_digest, NO_DIGEST)
+        open_differs = self.open_digest not in (held.open_digest, NO_DIGEST)
         return State(
             configuration_version=config.version,
             configuration_age_ms=_age_field_ms(config.age_ms(at_ms)),
@@ -281,7 +281,7 @@
             targets_age_ms=_age_field_ms(targets.age_ms(at_ms)),
             targets=(
                 self._delta_for("targets", held.targets_digest)
-                if other_targets
+                if targets_differ
                 else None
             ),
             view_number=view.version,
@@ -293,11 +293,13 @@
             ),
             open_digest=self.open_digest,
             open_nodes=self._delta_for("open", held.open_digest)
-            if other_open
+            if open_differs
             else None,
             crash_digest=self.crash_digest,
             crashes=(
-                self._delta_for("crashes", held.crash_digest) if other_crashes else None
+                self._delta_for("crashes", held.crash_digest)
+                if crashes_differ
+                else None
             ),
             store_regained_age_ms=_age_field_ms(at_ms - self.store_regained_at_ms),
             sender_unknown=sender_unknown,
@@ -402,5 +404,5 @@
     return View(number, _view_entries(entries), _view_entries(fenced))
 
 
-def _view_entries(parts: Sequence[Sequence[Any]]) -> tuple[ViewEntry, ...]:
-    return tuple(ViewEntry(unpacked_node(part[:-1]), part[-1]) for part in parts)
+def _view_entries(packed: Sequence[Sequence[Any]]) -> tuple[ViewEntry, ...]:
+    return tuple(ViewEntry(unpacked_node(entry[:-1]), entry[-1]) for entry in packed)
--- a/src/crocusspindle/gateway/held_requests.py
+++ b/src/crocusspindle/gateway/held_requests.py
@@ -56,11 +56,11 @@
 
 async def free_request(platform: FleetPlatform, content: str) -> dict[str, Any]:
     """Free a request on all hosts; raise ``InvalidInputError`` if none is held."""
-    records = (await _rows(platform)).get(ContentDigest(content))
-    if records is None or not records[1].crashes:
+    stored = (await _rows(platform)).get(ContentDigest(content))
+    if stored is None or not stored[1].crashes:
         message = f"no request with content {content!r} is held"
         raise InvalidInputError([Finding("command line", "content", message)])
-    row, record = records
+    row, record = stored
     freed = replace(
         CrashRecord(record.content, record.generation + 1, was_shared=True),
         last_ms=wall_ms(),
--- a/src/crocusspindle/gateway/membership.py
+++ b/src/crocusspindle/gateway/membership.py
@@ -53,14 +53,14 @@
 """A reader that was idle has its first responses from the store within this."""
 
 QUERIED_PEERS: Final = 6
-"""Peers queried in parallel whether the store was reachable meanwhile. With a third of
-the fleet cut off, all six are cut off with a probability of 0.001."""
+"""Peers queried in parallel to learn if they reached the store meanwhile. With a third
+of the fleet cut off, all six are cut off with a probability of 0.001."""
 
 MAX_READERS_TRIED: Final = 3
 """Readers tried before this node reads for itself."""
 
 PING_TIMEOUT_MS: Final = 1_200.0
-"""A member without a ping for two periods is probed, and counts as gone if it does not
+"""A member without a ping for two intervals is probed, and counts as gone if it doesn't
 respond to the probe either."""
 
 DEFERRED_PING_S: Final = 0.25
@@ -102,7 +102,7 @@
         self._registration = Registration(
             node, fleet_state, platform_reader, rng, self.spawn
         )
-        self._views = ViewKeeper(
+        self._view_keeper = ViewKeeper(
             node, exchange, fleet_state, platform_reader, expired_keys
         )
         self._log = Logger("membership")
@@ -207,9 +207,11 @@
         self._platform_reader.request_reads(OWN_READ_MS, ReadReason.NO_READER)
 
     def _candidates(self) -> list[HostId]:
-        return self._reader_choice.candidates(self._known().values(), now_ms())
+        return self._reader_choice.candidates(
+            self._possible_readers().values(), now_ms()
+        )
 
-    def _known(self) -> dict[HostId, NodeAddress]:
+    def _possible_readers(self) -> dict[HostId, NodeAddress]:
         view = self._fleet_state.view.content
         if view is None:
             return dict(self._known_nodes)
@@ -260,7 +262,7 @@
             await self._platform_reader.read_once(ReadReason.DOCUMENTS_DEFERRED)
 
     def _suspect(self, reader: HostId, reason: str) -> None:
-        node = self._known().get(reader, self._node)
+        node = self._possible_readers().get(reader, self._node)
         if self._reader_choice.suspect(node, now_ms()):
             log_state_change(
                 self._log, "reader passed over", host=reader, reason=reason
@@ -302,7 +304,7 @@
         return length == 0 or self._document_limiter.try_consume(length, now_ms())
 
     async def _query_peers(self) -> None:
-        others = self._known().keys() - {self._node.host}
+        others = self._possible_readers().keys() - {self._node.host}
         queried_hosts = order(b"consulted " + self._node.host.encode(), others)[
             :QUERIED_PEERS
         ]
@@ -322,7 +324,7 @@
 
     async def _wait_for_first_reads(self) -> None:
         # All pings wait for the first responses of the store after an idle period.
-        # Answered without, nodes would move on to the next reader, also just idle.
+        # Without them, nodes would move on to the next reader, which was idle as well.
         deadline_ms = self._platform_reader.active_since_ms + FIRST_READS_MS
         while now_ms() < deadline_ms:
             oldest = self._fleet_state.configuration.age_ms(now_ms())
@@ -342,9 +344,9 @@
             self._wake.set()
 
     def _push(self) -> None:
-        self._views.record_view_change()
+        self._view_keeper.record_view_change()
         # Don't relay a push: two readers with different lists would swap them without
-        # end at network speed. Nodes that ping this one learn of it then.
+        # end at network speed. Nodes that ping this one get them then.
         if self._applying_push or not self._platform_reader.active:
             return
         newest = self._fleet_state.current_keys()
@@ -389,7 +391,7 @@
             await asyncio.sleep(VIEW_INTERVAL_S)
             self._update_open_nodes()
             try:
-                await self._views.renew(self._present_nodes())
+                await self._view_keeper.renew(self._present_nodes())
                 await self._platform_reader.write_crashes()
             except PlatformError as error:
                 log_state_change(self._log, "view not written", error=str(error))
--- a/src/crocusspindle/gateway/messages.py
+++ b/src/crocusspindle/gateway/messages.py
@@ -91,7 +91,7 @@
 @message(3)
 @dataclass(frozen=True, slots=True)
 class State:
-    """Report the newest state; documents come only where the receiver's differ.
+    """Report the newest state, with documents only where the receiver's differ.
 
     Each document is a delta of `DocumentEncodings` to the encoding that the receiver
     holds.
@@ -133,14 +133,12 @@
             self.open_nodes,
             self.crashes,
         )
-        return sum(len(packed[1]) for packed in contents if packed is not None)
+        return sum(len(delta[1]) for delta in contents if delta is not None)
 
     def without_documents(self) -> "State":
         """Return the state with versions and ages only."""
         from_store = (self.configuration, self.targets, self.view)
-        needs_full_document = any(
-            packed and packed[0] == NO_BASE for packed in from_store
-        )
+        needs_full_document = any(delta and delta[0] == NO_BASE for delta in from_store)
         too_long = self.document_bytes > MAX_DOCUMENT_BYTES
         return replace(
             self,
--- a/src/crocusspindle/gateway/placer_ranks.py
+++ b/src/crocusspindle/gateway/placer_ranks.py
@@ -14,7 +14,7 @@
 are lost at once, most of the fleet is lost."""
 
 VIEWS_KEPT: Final = 16
-"""Views from which a new placer finds since when the placers have notified it."""
+"""Recent views, from which a new placer finds since when others have notified it."""
 
 
 class PlacerRanks:
@@ -58,7 +58,7 @@
         return ranked.index(host) if host in ranked else len(ranked)
 
     def notified_since_ms(self, service: ServiceId) -> float:
-        """Return since when the placers of a service have notified this node."""
+        """Return the time since which a service's placers have notified this node."""
         since_ms = now_ms()
         for from_ms, view in reversed(self._views):
             if self._node.host not in _ranked(view, service)[:MAX_PLACERS]:
@@ -67,7 +67,7 @@
         return since_ms
 
     def notify_others(self, service: ServiceId, note: Any) -> None:
-        """Notify the service's other placer and successor members."""
+        """Notify the other members that place for a service or succeed its placer."""
         for host in self.ranked(service)[:MAX_PLACERS]:
             to = self.address(host)
             if host != self._node.host and to is not None:
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -210,8 +210,8 @@
                 settled.set()
 
     async def _process_regularly(self) -> None:
-        # Ends grants of senders that are down, ejections and queue waits. One pass for
-        # all queued requests: one for each would grow with the square of their number.
+        # Ends grants of senders that are down, ejections and queue waits. All queued
+        # requests share one pass: one for each would cost the square of their number.
         while True:
             await asyncio.sleep(
                 PROCESS_INTERVAL_S if self._waiters else IDLE_PROCESS_INTERVAL_S
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -1,4 +1,4 @@
-"""Choose a target for a request: ask the service's placer, or choose locally."""
+"""Choose a target for a request: through the service's placer, or locally."""
 
 import random
 from dataclasses import dataclass
@@ -67,7 +67,7 @@
         self._log = Logger("placing")
 
     async def start(self) -> None:
-        """Handle replies that arrive late."""
+        """Register the callback for ejections and the handler of late replies."""
         self._placers.on_ejected = self._fallback.avoid
         self._exchange.handle_late_response(PlaceAnswer, self._release_grant)
 
@@ -163,16 +163,16 @@
         if placement_request.retry:
             return PlacementRefused("repeats", EJECTION_MS)
         if self._crashes.is_suspect(placement_request.content):
-            # What else runs at a target, or runs this request, is unknown here.
+            # What else a target runs, or who else runs this request, is unknown here.
             return PlacementRefused("suspect", EJECTION_MS)
         # How much other nodes send to a rate-limited target is unknown here.
         limited = {report.target for report in self._limits_of(service)}
-        open_to_all = [
+        unlimited = [
             listed
             for listed in self._placers.targets_of(service)
             if listed.identity not in limited
         ]
-        target = self._fallback.choose(open_to_all, now_ms())
+        target = self._fallback.choose(unlimited, now_ms())
         if target is None:
             return PlacementRefused("no-target", 500.0)
         self._fallback.began(target.identity)
@@ -194,8 +194,8 @@
             self._fallback.ended(placement.target.identity)
         first = () if placement.placer_address is None else (placement.placer_address,)
         others = (
-            self._placers.ranks.address(h)
-            for h in self._placers.ranks.ranked(placement.service)
+            self._placers.ranks.address(host)
+            for host in self._placers.ranks.ranked(placement.service)
         )
         tried = 0
         for to in dict.fromkeys((*first, *others)):
--- a/src/crocusspindle/gateway/platform_reader.py
+++ b/src/crocusspindle/gateway/platform_reader.py
@@ -62,12 +62,12 @@
 three missed writes."""
 
 RENEWAL_GRACE_MS: Final = 2_000.0
-"""Entries that expired during a store outage are renewed within this of its end."""
+"""Entries that expired during a store outage are renewed within this after its end."""
 
 
 RowHandler = Callable[[Changes, bool, float], Awaitable[None]]
-"""Applies changes of a table; takes them, whether they are all rows, and the time (ms)
-at which the call began."""
+"""Applies changes of a table. Arguments: the changes, True if they hold all rows, and
+the time (ms) at which the call began."""
 
 
 class ReadReason(Enum):
@@ -157,7 +157,7 @@
         if now_ms() > self._requested_until_ms and self._requested.is_set():
             self._requested.clear()
             self._positions.clear()
-            # A node that makes no calls can't tell whether the store is reachable.
+            # A node that makes no calls doesn't know whether the store is reachable.
             self._failing_since_ms.clear()
             log_state_change(self._log, "rests from reading", calls=self._calls)
         await self._requested.wait()
@@ -274,12 +274,12 @@
     async def _apply_target_rows(
         self, changes: Changes, complete: bool, began_ms: float
     ) -> None:
-        seen: set[str] = set()
+        row_keys: set[str] = set()
         for row in changes.rows:
-            seen.add(row.key)
+            row_keys.add(row.key)
             self._apply_target_row(row)
         if complete:
-            self._missing |= self._targets.keys() - seen
+            self._missing |= self._targets.keys() - row_keys
         self._drop_missing()
         self._fleet_state.update_targets(
             list(self._targets.values()), changes.version, began_ms
@@ -366,9 +366,8 @@
 
 
 def _check_not_stale(changes: Changes, newest_version: int) -> None:
-    # After losing its history the store may return old state, which would make a
-    # leaving target ready again and accept a withdrawn key. Its version then is older
-    # than one known before the call.
+    # A store that lost its history may return a version older than one known before
+    # the call: a leaving target would be ready again, and a withdrawn key accepted.
     if changes.version < newest_version:
         message = (
             f"response of version {changes.version}, {newest_version} was seen before"
--- a/src/crocusspindle/gateway/ports.py
+++ b/src/crocusspindle/gateway/ports.py
@@ -23,8 +23,9 @@
 
 BACKLOG: Final = 512
 WHERE_VALID_S: Final = 2.0
-"""Callers cache the addresses this long, some three times as long, and then avoid nodes
-that leave. A shorter time would cost each caller a request a second."""
+"""Callers cache the addresses of nodes this long, some three times as long, and only
+then avoid a node that leaves. A shorter time would cost each caller a request a
+second."""
 
 MAX_ADDRESSES: Final = 64
 MIN_LOCAL_NODES: Final = 2
@@ -134,7 +135,7 @@
         return web.Response(body=self._metrics.render(), content_type="text/plain")
 
     async def drain(self) -> None:
-        """Leave without aborting requests; the fractions above give the times."""
+        """Leave the fleet; give running requests up to `GIVE_UP_FRACTION` to end."""
         began_ms = now_ms()
         grace_ms = self._bounds.now.grace_ms
         self._membership.leave()
--- a/src/crocusspindle/gateway/reported_limits.py
+++ b/src/crocusspindle/gateway/reported_limits.py
@@ -13,8 +13,8 @@
 class ReportedLimits:
     """Hold limits for placers that may not know them.
 
-    A placer that has just taken over has received no outcome yet. It learns the limits
-    from the first placement requests.
+    A new placer has received no outcome yet. It learns the limits from the first
+    placement requests.
     """
 
     def __init__(self) -> None:
@@ -22,8 +22,8 @@
 
     def record(self, report: LimitReport) -> None:
         """Record the limit in a response that this node forwarded."""
-        known = self._reports.get(report.target)
-        if known is not None and known.sent_ms > report.sent_ms:
+        previous = self._reports.get(report.target)
+        if previous is not None and previous.sent_ms > report.sent_ms:
             return
         if report.limit_per_s is None:
             self._reports.pop(report.target, None)
@@ -53,7 +53,7 @@
 def unpacked_limits(
     packed: Iterable[tuple[str, float, int]], now_ms: float
 ) -> list[LimitReport]:
-    """Return the limits of `packed_limits`."""
+    """Convert the output of `packed_limits` back."""
     return [
         LimitReport(TargetIdentity(target), limit_per_s, now_ms - age_ms)
         for target, limit_per_s, age_ms in packed
--- a/src/crocusspindle/gateway/retry_sharing.py
+++ b/src/crocusspindle/gateway/retry_sharing.py
@@ -25,7 +25,7 @@
     def __init__(
         self, node: NodeAddress, bounds: LiveBounds, ranks: PlacerRanks
     ) -> None:
-        self._own = node.incarnation
+        self._own_incarnation = node.incarnation
         self._bounds = bounds
         self._ranks = ranks
         self._budgets: dict[ServiceId, RetryBudget] = {}
@@ -61,7 +61,7 @@
         at_ms = now_ms()
         records = [
             _record_fields(counted_record, at_ms)
-            for counted_record in budget.records(self._own, at_ms)
+            for counted_record in budget.records(self._own_incarnation, at_ms)
         ]
         known_ms = round(budget.known_ms(at_ms))
         self._ranks.notify_others(service, RepeatsNote(service, known_ms, records))
@@ -78,7 +78,7 @@
             for origin, number, slots in note.records
         ]
         budget = self.budget(ServiceId(note.service))
-        budget.receive(self._own, records, note.known_ms, at_ms)
+        budget.receive(self._own_incarnation, records, note.known_ms, at_ms)
 
     def log_bound(self, service: ServiceId) -> None:
         """Log the state of a service's retry budget, at most once a second.
--- a/src/crocusspindle/gateway/serve.py
+++ b/src/crocusspindle/gateway/serve.py
@@ -21,11 +21,15 @@
     Parameters
     ----------
     began_ms
-        Start of this process: a small host takes seconds to load its modules.
+        Start of this process (ms). A small host takes seconds to load its modules.
     """
-    file = settings_file.settings_path(path)
+    settings_path = settings_file.settings_path(path)
     policies = Policies.from_names(os.environ.get(WITHOUT_ENV, ""))
     lines = set_up_lines()
-    words = dialect.dialect()
+    platform_dialect = dialect.dialect()
     read = settings_file.read_settings
-    kernel.run(lambda: assembly.build(file, read, words, lines, policies, began_ms))
+    kernel.run(
+        lambda: assembly.build(
+            settings_path, read, platform_dialect, lines, policies, began_ms
+        )
+    )
--- a/src/crocusspindle/gateway/settings.py
+++ b/src/crocusspindle/gateway/settings.py
@@ -7,8 +7,9 @@
 from crocusspindle.ids import DomainId, HostId
 
 VIEW_FENCE_FRACTION: Final = 0.6
-"""Fraction of the time limit of a key withdrawal after which requests with a key need
-not be served any more, so that a quota keeper which stops then affects no caller."""
+"""Fraction of the revocation time for which a node may act on a view that is no longer
+confirmed. After it, requests with a key need not be served any more, so that a quota
+keeper which stops then affects no caller."""
 
 UNITS_PER_CORE: Final = 100.0
 """Units of host capacity per processor core."""
--- a/src/crocusspindle/gateway/strict_connector.py
+++ b/src/crocusspindle/gateway/strict_connector.py
@@ -1,4 +1,4 @@
-"""Open connections whose resets are never taken for the end of a response."""
+"""Open connections whose resets are never mistaken for the end of a response."""
 
 import asyncio
 import functools
--- a/src/crocusspindle/gateway/target_client.py
+++ b/src/crocusspindle/gateway/target_client.py
@@ -19,8 +19,8 @@
 from crocusspindle.services.targets import CONNECT_TIMEOUT_S, forwarded
 
 MAX_BUFFERED_BYTES: Final = 1 << 20
-"""Responses up to this size are read completely before any of it is forwarded, so that
-a truncated one is never passed on as complete."""
+"""Responses up to this size are read completely before they are forwarded, so that a
+truncated one is never passed on as complete."""
 
 READ_BYTES: Final = 1 << 16
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
@@ -223,8 +223,8 @@
                 AttemptOutcome.SHED, 0.0, detail=f"status {response.status}"
             )
         if response.status in NOT_RUN_STATUSES:
-            # These statuses tell the caller that the request was not run. Without the
-            # header of the target that isn't known, so they must not be passed on.
+            # These statuses guarantee the caller that the request was not run. Without
+            # the target's header for that it may have run: don't pass them on.
             return AttemptResult(
                 AttemptOutcome.ERROR, 0.0, detail=f"status {response.status}"
             )
--- a/src/crocusspindle/gateway/view_keeper.py
+++ b/src/crocusspindle/gateway/view_keeper.py
@@ -36,8 +36,9 @@
 may have replaced the view."""
 
 PEER_SILENT_S: Final = 0.3
-"""A peer responds within 3 ms, and seven lost datagrams in a row are unlikely. Messages
-to hundreds of other nodes may occupy its narrow link for part of this."""
+"""Silence after which a peer counts as down. It responds within 3 ms, and seven lost
+datagrams in a row are unlikely. Messages to hundreds of other nodes may occupy its
+narrow link for a while."""
 
 PEER_LIMIT_S: Final = 1.0
 """A response with full documents may take this long on a narrow link. A peer with such
@@ -83,10 +84,14 @@
             return
         if view is not None:
             silent: Present = {
-                h: s.node for h, s in view.by_host.items() if h not in present
+                host: entry.node
+                for host, entry in view.by_host.items()
+                if host not in present
             }
             if self._has_few_pings(view, present, age_ms):
-                present = {h: n for h, n in present.items() if h in view.by_host}
+                present = {
+                    host: node for host, node in present.items() if host in view.by_host
+                }
             else:
                 silent = await self._probe_silent(silent, age_ms)
             present = {**silent, **present}
@@ -108,21 +113,23 @@
         }
 
     def _is_writer(self, view: View | None, present: Present) -> bool:
-        # Only members are asked to read. If a host outside of the view ranked first,
-        # the others would leave the writing to it and no view would ever be written:
-        # customers of processes that are gone would have no quota keeper.
+        # Nodes ping members only. If another host ranked first, no view would ever be
+        # written, and customers of ended processes would have no quota keeper.
         named = present.keys() if view is None else view.by_host.keys()
         eligible = [node for host, node in present.items() if host in named]
         ranked = rank_by_capacity(READER_ROLE, eligible or present.values())
         return bool(ranked) and ranked[0] == self._node.host
 
     def _has_few_pings(self, view: View, present: Present, age_ms: float) -> bool:
-        # A node cut off from its peers gets no pings and would remove all members,
-        # while their reader adds them again: the view would never converge, and
-        # customers would change keepers each time. The same happens if many nodes that
-        # read for themselves each add themselves. So a node pinged by at most half of
-        # the members waits for another reader's view. Until then it only names new
-        # processes of members, since hosts of a restarted fleet return one by one.
+        """Return True if too few members ping this node for it to change the members.
+
+        A node cut off from its peers gets no pings and would remove all members, while
+        their reader adds them again: the view would never converge, and customers would
+        change keepers each time. The same happens if many nodes that read for
+        themselves each add themselves. So a node pinged by at most half of the members
+        waits for another reader's view. Until then it only names new processes of
+        members, since hosts of a restarted fleet return one by one.
+        """
         if 2 * len(present) > len(view.entries):
             return False
         unchanged_ms = now_ms() - self._changed_at_ms
@@ -134,7 +141,9 @@
             return silent
         # Members may ping another reader for a while. Removed for that, they would
         # hand over their roles needlessly, and again when they are added back.
-        responses = await asyncio.gather(*(self._probe(n) for n in silent.values()))
+        responses = await asyncio.gather(
+            *(self._probe(member) for member in silent.values())
+        )
         return {
             host: node
             for (host, node), responded in zip(silent.items(), responses, strict=True)
