--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -69,7 +69,7 @@
 async def repeat_request(
     fleet: Fleet, path: str, method: str, for_s: float
 ) -> Counter[int]:
-    """Send the same request to the gateways in turn; count the response statuses."""
+    """Send the same request to one gateway after the other; count the statuses."""
     statuses: Counter[int] = Counter()
     for number in range(round(for_s / REPEAT_INTERVAL_S)):
         status, _, headers = await fleet.call(path, method, number % GATEWAYS)
@@ -81,7 +81,7 @@
 
 
 def attempts_after_detection(fleet: Fleet) -> int:
-    """Return the number of attempts after the fleet had to detect the request."""
+    """Return the number of attempts after the time limit for detection."""
     times = sorted(crash.at_s for t in fleet.targets for crash in t.crashes)
     if len(times) < CRASHES_BEFORE_DETECTION:
         return 0
--- a/tests/gateway/test_end_to_end.py
+++ b/tests/gateway/test_end_to_end.py
@@ -111,15 +111,15 @@
 
 
 @pytest.mark.parametrize(
-    "trouble", [TargetFault.RESETS, TargetFault.CUTS, TargetFault.CROSSES]
+    "fault", [TargetFault.RESETS, TargetFault.CUTS, TargetFault.CROSSES]
 )
-async def test_a_post_runs_once_whatever_its_target_does(fleet, trouble):
+async def test_a_post_runs_once_whatever_its_target_does(fleet, fault):
     """A target runs POSTs and breaks their responses.
 
     Retried, the POST would run twice; reported as not run, its caller would repeat it.
     """
     for target in fleet.targets:
-        target.fault = trouble
+        target.fault = fault
     for _ in range(4):
         status, _, headers = await fleet.call("/orders/1", "POST", data=b"pay")
         assert status in (502, 503)
--- a/tests/gateway/test_fleet_convergence.py
+++ b/tests/gateway/test_fleet_convergence.py
@@ -175,8 +175,8 @@
 def test_fleet_survives_the_loss_of_its_reader(run_scenario, large, small):
     """The reader loses power, and each node chooses the next one by itself.
 
-    If they chose different ones, members would be added and removed in turns, and
-    their roles would move each time.
+    If they chose different ones, members would be added and removed repeatedly,
+    and their roles would move each time.
     """
 
     async def scenario(fleet: VirtualFleet) -> None:
@@ -313,7 +313,7 @@
 
 
 def test_hosts_that_are_cut_off_do_not_change_the_view_repeatedly(run_scenario):
-    """Guards against a view that adds and removes a cut-off host in turns."""
+    """Guards against a view that adds and removes a cut-off host repeatedly."""
 
     async def scenario(fleet: VirtualFleet) -> None:
         await fleet.start_all()
--- a/tests/gateway/test_pipelined_requests.py
+++ b/tests/gateway/test_pipelined_requests.py
@@ -37,7 +37,7 @@
     reader: asyncio.StreamReader, count: int
 ) -> list[tuple[int, str]]:
     """Return status and request id of ``count`` responses, in their order."""
-    found = []
+    responses = []
     for _ in range(count):
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         fields = dict(
@@ -46,8 +46,8 @@
             if ": " in line
         )
         await reader.readexactly(int(fields["content-length"]))
-        found.append((int(head.split()[1]), fields["x-request-id"]))
-    return found
+        responses.append((int(head.split()[1]), fields["x-request-id"]))
+    return responses
 
 
 async def connect(fleet: Fleet):
@@ -68,9 +68,9 @@
     began = asyncio.get_running_loop().time()
     writer.write(b"".join(request_bytes(number) for number in range(PIPELINED)))
     async with asyncio.timeout(3):
-        found = await read_responses(reader, PIPELINED)
+        responses = await read_responses(reader, PIPELINED)
     took_s = asyncio.get_running_loop().time() - began
-    assert found == [(200, f"q{number}") for number in range(PIPELINED)]
+    assert responses == [(200, f"q{number}") for number in range(PIPELINED)]
     assert took_s < 2.5 * SERVICE_TIME_S
     writer.close()
 
@@ -84,15 +84,15 @@
             request_bytes(2 * round_number) + request_bytes(2 * round_number + 1)
         )
         async with asyncio.timeout(3):
-            found = await read_responses(reader, 2)
-        assert [status for status, _ in found] == [200, 200]
+            responses = await read_responses(reader, 2)
+        assert [status for status, _ in responses] == [200, 200]
     writer.close()
 
 
-async def test_pipelined_posts_wait_for_their_turn(fleet):
+async def test_pipelined_posts_are_not_started_early(fleet):
     """A caller sends two POSTs at once and leaves before the first is answered.
 
-    Started early, the second would run although the caller takes it for unread.
+    Started early, the second would run although the caller assumes that it wasn't read.
     """
     for target in fleet.targets:
         target.work_s = SERVICE_TIME_S
@@ -121,7 +121,8 @@
 async def test_a_planned_stop_answers_requests_started_early(fleet):
     """A gateway gets SIGTERM while targets work on three GETs of one connection.
 
-    Closed after the first response, the others would be lost though already forwarded.
+    If it closed the connection after the first response, the others would be lost
+    although their requests were already forwarded.
     """
     for target in fleet.targets:
         target.work_s = SERVICE_TIME_S
@@ -130,15 +131,15 @@
     await asyncio.sleep(SERVICE_TIME_S / 2)
     fleet.gateways[0].process.send_signal(signal.SIGTERM)
     async with asyncio.timeout(3):
-        found = await read_responses(reader, 3)
-    assert found == [(200, f"q{number}") for number in range(3)]
+        responses = await read_responses(reader, 3)
+    assert responses == [(200, f"q{number}") for number in range(3)]
     writer.close()
 
 
 async def test_nothing_runs_behind_a_request_with_connection_close(fleet):
     """A caller sends "Connection: close" and another request in the same write.
 
-    The second can never be answered there, and the whole input is malformed.
+    The second can't be answered on that connection, and the whole input is malformed.
     """
     for target in fleet.targets:
         target.work_s = SERVICE_TIME_S
--- a/tests/gateway/test_platform_reader.py
+++ b/tests/gateway/test_platform_reader.py
@@ -44,8 +44,8 @@
         self._fail()
         rows, version = self.old_state or (self.rows, self.version)
         rows = rows if table is Table.TARGETS else {}
-        found = [StoredRow(key, 1, value) for key, value in rows.items()]
-        return Changes(found, version)
+        stored = [StoredRow(key, 1, value) for key, value in rows.items()]
+        return Changes(stored, version)
 
     async def follow(self, table, after, wait_ms):
         await asyncio.sleep(0.02)
@@ -76,7 +76,7 @@
 
 
 @pytest.fixture
-async def fixture(monkeypatch):
+async def reader_of_store(monkeypatch):
     for name, value in (
         ("POLL_INTERVAL_S", 0.02),
         ("RETRY_DELAY_S", 0.02),
@@ -100,8 +100,8 @@
     return [target.identity for target in fleet_state.targets.content]
 
 
-async def test_removed_target_is_dropped_at_once(fixture):
-    store, fleet_state = fixture
+async def test_removed_target_is_dropped_at_once(reader_of_store):
+    store, fleet_state = reader_of_store
     assert listed(fleet_state) == ["t1", "t2"]
     del store.rows["t2"]
     store.removed.append("t2")
@@ -109,13 +109,13 @@
     assert listed(fleet_state) == ["t1"]
 
 
-async def test_entries_that_expire_during_an_outage_get_a_grace_period(fixture):
+async def test_entries_that_expire_during_an_outage_get_a_grace_period(reader_of_store):
     """The store is unreachable, targets can't renew their entries, and all expire.
 
     Without a grace period the service would have no targets when the store is back.
     Targets that renew within the period stay listed; the others are dropped.
     """
-    store, fleet_state = fixture
+    store, fleet_state = reader_of_store
     store.unreachable = True
     await asyncio.sleep(0.3)
     expired, store.rows = store.rows, {}
@@ -128,22 +128,24 @@
     assert listed(fleet_state) == ["t1"]
 
 
-async def test_lost_history_is_replaced_by_a_full_read(fixture):
+async def test_lost_history_is_replaced_by_a_full_read(reader_of_store):
     """A target leaves while the history is dropped, so no feed reports it."""
-    store, fleet_state = fixture
+    store, fleet_state = reader_of_store
     del store.rows["t1"]
     store.drops_history = True
     await asyncio.sleep(0.15)
     assert listed(fleet_state) == ["t2"]
 
 
-async def test_reader_after_an_idle_period_drops_targets_that_left_meanwhile(fixture):
+async def test_reader_after_an_idle_period_drops_targets_that_left_meanwhile(
+    reader_of_store,
+):
     """A node is the reader, then idle while another node reads, then the reader again.
 
     A target left in between. An idle period is no outage: kept for a grace period of
     two seconds, the target would get work long after it left.
     """
-    store, fleet_state = fixture
+    store, fleet_state = reader_of_store
     await make_idle(store)
     del store.rows["t2"]
     fleet_state.update_targets(
@@ -155,13 +157,13 @@
 
 
 async def test_entries_not_renewed_after_an_outage_are_dropped_without_a_new_version(
-    fixture,
+    reader_of_store,
 ):
     """The store is back without an entry, and nothing else changes after that.
 
     The version of the list is the same at the end of the grace period.
     """
-    store, fleet_state = fixture
+    store, fleet_state = reader_of_store
     store.unreachable = True
     await asyncio.sleep(0.3)
     del store.rows["t2"]
@@ -174,14 +176,14 @@
     assert listed(fleet_state) == ["t1"]
 
 
-async def test_reader_that_was_cut_off_restores_no_target(fixture):
+async def test_reader_that_was_cut_off_restores_no_target(reader_of_store):
     """One node loses the store, others continue to read, and a target leaves.
 
     When the node reaches the store again the entry is missing, as after an outage of
     the store. Kept for two seconds and published, the target would get work from the
     whole fleet ten seconds after it left.
     """
-    store, fleet_state = fixture
+    store, fleet_state = reader_of_store
 
     async def apply_peers_list():
         peers = [parse_target("t1", store.rows["t1"])]
@@ -200,13 +202,15 @@
     assert all(names == ["t1"] for names in after_peers)
 
 
-async def test_second_reader_gives_expired_entries_the_same_grace_period(fixture):
+async def test_second_reader_gives_expired_entries_the_same_grace_period(
+    reader_of_store,
+):
     """No node reached the store, and another reader regains it a moment sooner.
 
     The list that it publishes still holds the expired entries. A reader that concluded
     that there was no outage would drop them all at its first read.
     """
-    store, fleet_state = fixture
+    store, fleet_state = reader_of_store
     store.unreachable = True
     await asyncio.sleep(0.3)
     expired, store.rows = store.rows, {}
@@ -225,9 +229,9 @@
     assert listed(fleet_state) == []
 
 
-async def test_reader_without_the_store_reports_it(fixture):
+async def test_reader_without_the_store_reports_it(reader_of_store):
     """Nodes that ping it switch to another reader before their state is stale."""
-    store, _ = fixture
+    store, _ = reader_of_store
     assert not store.platform_reader.is_store_lost
     store.unreachable = True
     await asyncio.sleep(0.8)
@@ -237,9 +241,9 @@
     assert not store.platform_reader.is_store_lost
 
 
-async def test_idle_node_does_not_report_the_store_as_lost(fixture):
+async def test_idle_node_does_not_report_the_store_as_lost(reader_of_store):
     """It would skip itself as a reader while others read, and never try again."""
-    store, _ = fixture
+    store, _ = reader_of_store
     store.unreachable = True
     await asyncio.sleep(0.8)
     assert store.platform_reader.is_store_lost
@@ -254,13 +258,13 @@
     assert not store.platform_reader.active
 
 
-async def test_read_of_old_state_is_ignored(fixture):
+async def test_read_of_old_state_is_ignored(reader_of_store):
     """The store loses its history and then returns the state of some seconds ago.
 
     A target that has since reported that it leaves would get work again, permanently,
     since it reports this only once.
     """
-    store, fleet_state = fixture
+    store, fleet_state = reader_of_store
     before = (dict(store.rows), store.version)
     del store.rows["t2"]
     store.removed.append("t2")
@@ -277,8 +281,8 @@
     assert fleet_state.targets.confirmed_at_ms - confirmed_at_ms > 100
 
 
-async def test_invalid_entry_lists_no_target(fixture):
-    store, fleet_state = fixture
+async def test_invalid_entry_lists_no_target(reader_of_store):
+    store, fleet_state = reader_of_store
     store.rows["t2"] = b"\x00"
     await asyncio.sleep(0.1)
     assert listed(fleet_state) == ["t1"]
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -105,8 +105,8 @@
     await asyncio.sleep(0.02)
     assert not pending.done()
     fleet_state.update_configuration(DOCUMENT, now_ms())
-    found = await asyncio.wait_for(pending, 0.1)
-    assert found is not None and found.version == 1
+    configuration = await asyncio.wait_for(pending, 0.1)
+    assert configuration is not None and configuration.version == 1
 
 
 async def test_wait_for_the_first_configuration_is_limited():
--- a/tests/gateway/test_target_client.py
+++ b/tests/gateway/test_target_client.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "trouble", "outcome"),
+    ("path", "fault", "outcome"),
     [
         ("/pages/oak", TargetFault.NONE, AttemptOutcome.ANSWERED),
         ("/pages/oak", TargetFault.RESETS, AttemptOutcome.BROKEN),
@@ -37,10 +37,10 @@
     ],
 )
 async def test_an_exited_process_is_distinguished_from_broken_connections(
-    target, client, path, trouble, outcome
+    target, client, path, fault, outcome
 ):
-    """Guards against crashes that are taken for the resets of a gray target."""
-    target.fault = trouble
+    """Guards against crashes that are mistaken for the resets of a gray target."""
+    target.fault = fault
     listed = ListedTarget(
         TargetIdentity(target.identity),
         ServiceId(target.service),
