--- a/src/crocusspindle/gateway/assembly.py
+++ b/src/crocusspindle/gateway/assembly.py
@@ -36,8 +36,8 @@
     """Build the configured platform; raise ``SettingsError`` if it is unknown."""
     platform_type = forms().get(settings.platform_form)
     if platform_type is None:
-        known = ", ".join(sorted(forms()))
-        message = f"{settings.platform_form!r} is not known, only {known}"
+        known_forms = ", ".join(sorted(forms()))
+        message = f"{settings.platform_form!r} is not known, only {known_forms}"
         raise SettingsError([Finding("settings", "platform.form", message)])
     return platform_type.from_config(settings.platform)
 
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -119,7 +119,9 @@
         )
         await asyncio.gather(*requests)
 
-    def _log_record(self, message: str, record: CrashRecord, **more: str) -> None:
+    def _log_record(
+        self, message: str, record: CrashRecord, **extra_fields: str
+    ) -> None:
         held = self.is_held(record.content)
         left_ms = self._fleet_state.crashes.held_until_ms(record.content) - wall_ms()
         log_state_change(
@@ -130,5 +132,5 @@
             targets=sorted(crash.target for crash in record.crashes),
             trials=record.trials,
             held_ms=round(left_ms) if held else None,
-            **more,
+            **extra_fields,
         )
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -192,13 +192,15 @@
         self._fallback.avoid(placement.target.identity, now_ms() + EJECTION_MS)
         if placement.grant is None:
             self._fallback.ended(placement.target.identity)
-        first = () if placement.placer_address is None else (placement.placer_address,)
-        others = (
+        granting_placer = (
+            () if placement.placer_address is None else (placement.placer_address,)
+        )
+        ranked_placers = (
             self._placers.ranks.address(host)
             for host in self._placers.ranks.ranked(placement.service)
         )
         tried = 0
-        for to in dict.fromkeys((*first, *others)):
+        for to in dict.fromkeys((*granting_placer, *ranked_placers)):
             if to is None or tried == MAX_PLACERS:
                 continue
             tried += 1
--- a/src/crocusspindle/gateway/platform_reader.py
+++ b/src/crocusspindle/gateway/platform_reader.py
@@ -48,8 +48,8 @@
 
 POLL_INTERVAL_S: Final = 0.5
 """Minimum time between calls for a table. Each target writes about every 1.5 s, so its
-feed always has changes, which one call then batches; a leaving target is still known
-within a quarter of the two seconds allowed."""
+feed always has changes, which one call then batches. The reader still learns that a
+target leaves within a quarter of the two seconds allowed."""
 
 RETRY_DELAY_S: Final = 0.25
 STORE_LOST_AFTER_MS: Final = 600.0
--- a/src/crocusspindle/gateway/view_keeper.py
+++ b/src/crocusspindle/gateway/view_keeper.py
@@ -38,7 +38,7 @@
 PEER_SILENT_S: Final = 0.3
 """Silence after which a peer counts as down. It responds within 3 ms, and seven lost
 datagrams in a row are unlikely. Messages to hundreds of other nodes may occupy its
-narrow link for a while."""
+narrow link for a fraction of this time."""
 
 PEER_LIMIT_S: Final = 1.0
 """A response with full documents may take this long on a narrow link. A peer with such
