--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -68,16 +68,16 @@
         """Record what a service's placer observed, and publish the changed records."""
         changed: dict[ContentDigest, CrashRecord] = {}
         table = self._fleet_state.crashes
-        for seen in watch.reports():
+        for report in watch.reports():
             self._metrics.add(instruments.CRASHES, service=service)
             log_state_change(
                 self._log,
                 "target crashed",
                 service=service,
-                target=seen.target,
-                contents=sorted(seen.contents),
+                target=report.target,
+                contents=sorted(report.contents),
             )
-            changed |= {r.content: r for r in table.record_crash(seen, wall_ms())}
+            changed |= {r.content: r for r in table.record_crash(report, wall_ms())}
         for content in watch.answered():
             cleared = table.clear(content, wall_ms())
             if cleared is not None:
@@ -119,7 +119,9 @@
         )
         await asyncio.gather(*requests)
 
-    def _log_record(self, message: str, record: CrashRecord, **more: str) -> None:
+    def _log_record(
+        self, message: str, record: CrashRecord, **extra_fields: str
+    ) -> None:
         held = self.is_held(record.content)
         left_ms = self._fleet_state.crashes.held_until_ms(record.content) - wall_ms()
         log_state_change(
@@ -130,5 +132,5 @@
             targets=sorted(crash.target for crash in record.crashes),
             trials=record.trials,
             held_ms=round(left_ms) if held else None,
-            **more,
+            **extra_fields,
         )
