--- a/src/crocusspindle/core/admission.py
+++ b/src/crocusspindle/core/admission.py
@@ -90,7 +90,7 @@
         A burst of one customer that fills the queue must not cause the refusal of
         another customer's request.
         """
-        victim = self._queue.most_over_share()
+        victim = self._queue.last_request_over_share()
         if victim is None:
             return None
         wait_ms = self.wait_ms(self._queue.ahead_of(victim) + 1, now_ms)
--- a/src/crocusspindle/core/attempts.py
+++ b/src/crocusspindle/core/attempts.py
@@ -85,7 +85,7 @@
     ) -> Attempt | None:
         """Free the slot of an attempt and learn from its end.
 
-        ``has_queued`` says that requests wait for slots.
+        ``has_queued`` is True if requests wait for slots.
         """
         attempt = self._running.pop(attempt_id, None)
         if attempt is None:
--- a/src/crocusspindle/core/bucket.py
+++ b/src/crocusspindle/core/bucket.py
@@ -152,7 +152,7 @@
 
 
 @dataclass(slots=True)
-class _Part:
+class _LenderTokens:
     value: float
     decay_per_ms: float
     decays_from_ms: float
@@ -171,23 +171,25 @@
     spent at once; the rest decays to zero.
     """
 
-    __slots__ = ("_at_ms", "_parts")
+    __slots__ = ("_at_ms", "_by_lender")
 
     def __init__(self) -> None:
-        self._parts: dict[str, _Part] = {}
+        self._by_lender: dict[str, _LenderTokens] = {}
         self._at_ms = -math.inf
 
     def tokens(self, now_ms: float) -> float:
         """Return how many tokens may still be spent."""
         if now_ms > self._at_ms:
-            for part in self._parts.values():
-                part.apply_decay(self._at_ms, now_ms)
+            for borrowed in self._by_lender.values():
+                borrowed.apply_decay(self._at_ms, now_ms)
             self._at_ms = now_ms
-        return sum(part.value for part in self._parts.values())
+        return sum(borrowed.value for borrowed in self._by_lender.values())
 
     def margin(self, ahead_ms: float) -> float:
         """Return the maximum decay over a time."""
-        return ahead_ms * sum(part.decay_per_ms for part in self._parts.values())
+        return ahead_ms * sum(
+            borrowed.decay_per_ms for borrowed in self._by_lender.values()
+        )
 
     def put(
         self,
@@ -199,19 +201,21 @@
     ) -> None:
         """Add a lender's tokens, which decay at the given rate from a time on."""
         self.tokens(now_ms)
-        existing = self._parts.get(source)
+        existing = self._by_lender.get(source)
         if existing is not None and existing.value > 0.0:
             amount += existing.value
             decay_per_ms = max(decay_per_ms, existing.decay_per_ms)
             decays_from_ms = min(decays_from_ms, existing.decays_from_ms)
-        self._parts[source] = _Part(amount, decay_per_ms, decays_from_ms)
+        self._by_lender[source] = _LenderTokens(amount, decay_per_ms, decays_from_ms)
 
     def take(self, amount: float) -> None:
         """Take tokens; `tokens` must have just returned at least this amount."""
-        for part in self._parts.values():
-            taken = min(part.value, amount)
-            part.value -= taken
+        for borrowed in self._by_lender.values():
+            taken = min(borrowed.value, amount)
+            borrowed.value -= taken
             amount -= taken
-        self._parts = {
-            source: part for source, part in self._parts.items() if part.value > 0.0
+        self._by_lender = {
+            source: borrowed
+            for source, borrowed in self._by_lender.items()
+            if borrowed.value > 0.0
         }
--- a/src/crocusspindle/core/caller_addresses.py
+++ b/src/crocusspindle/core/caller_addresses.py
@@ -6,7 +6,7 @@
 from crocusspindle.core.members import ViewMember
 from crocusspindle.ids import DomainId, MemberId
 
-ADDRESSES_MAX: Final = 6
+MAX_ADDRESSES: Final = 6
 """Maximum number of addresses in one response: first the holders of the customer's
 shares, and enough others that two remain if a failure domain is lost."""
 
@@ -28,5 +28,5 @@
     if not serving:
         serving = [*ranked] if own is None else [own]
     return [
-        (member.caller_address, member.domain) for member in serving[:ADDRESSES_MAX]
+        (member.caller_address, member.domain) for member in serving[:MAX_ADDRESSES]
     ]
--- a/src/crocusspindle/core/customer_table.py
+++ b/src/crocusspindle/core/customer_table.py
@@ -21,8 +21,7 @@
 MIN_WASTE_BYTES: Final = 65_536
 """Removed ids are compacted once they take this many bytes and a quarter of all bytes.
 
-Compaction copies all ids: 318.7 ms at 520,000 ids (benchmarks/directory.py), once in
-130,000 removals.
+Compaction copies all ids: 318.7 ms at 520,000 ids, once in 130,000 removals.
 """
 
 
--- a/src/crocusspindle/core/ejection.py
+++ b/src/crocusspindle/core/ejection.py
@@ -40,7 +40,7 @@
     ) -> None:
         self._records = records
         self._floor_fraction = floor_fraction
-        self._homes_at_once = coordinators_at_once
+        self._coordinators_at_once = coordinators_at_once
 
     def live(self) -> list[TargetRecord]:
         """Return the targets that count as capacity."""
@@ -61,7 +61,7 @@
         total_slots = sum(record.target.slots for record in self.live())
         removable_slots = (1.0 - self._floor_fraction) * total_slots
         # Round down, but tolerate floating-point error as in (1 - 0.8) * 10.
-        limit_slots = int(removable_slots / self._homes_at_once + 1e-9)
+        limit_slots = int(removable_slots / self._coordinators_at_once + 1e-9)
         return limit_slots - sum(record.target.slots for record in self.removed())
 
     def has_room(self, record: TargetRecord) -> bool:
--- a/src/crocusspindle/core/eligibility.py
+++ b/src/crocusspindle/core/eligibility.py
@@ -34,8 +34,8 @@
     ``contact_ms`` covers two lost heartbeats. ``failing_ms`` is how long the platform
     counts as unreachable after a failed read: as long as a timestamp is fresh.
     ``refresh_ms`` avoids sorting 5,400 contacts for each request. ``expiry_ms`` is how
-    long a right by a previous view may outlast the confirmation of the next one: the
-    contact time of a node that counted a member before this member adopted the next
+    long authority under a previous view may outlast the confirmation of the next one:
+    the contact time of a node that counted a member before this member adopted the next
     view, plus 5 % for clocks that run at different speeds.
     """
 
@@ -46,7 +46,7 @@
 
     @property
     def expiry_ms(self) -> float:
-        """Return the wait from the confirmation of a view until its rights begin."""
+        """Return the wait from confirming a view until authority under it begins."""
         return self.contact_ms * 1.05
 
 
@@ -66,7 +66,7 @@
     view: ViewNumber
     at_ms: float
     applied: TicketNumber
-    away: bool
+    lost_platform: bool
 
 
 @dataclass(slots=True)
@@ -79,8 +79,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _Deadlines:
-    """Hold deadlines by majority: of all contacts, of those that lost the platform, and
-    of those that did not.
+    """Hold deadlines of two-way contact with a majority.
+
+    They count all contacts, those that lost the platform, and those that did not.
     """
 
     contact_ms: float = NEVER
@@ -178,10 +179,11 @@
     ) -> None:
         """Record a member's reply to this node's message sent at ``at_ms``.
 
-        ``view_number``, ``applied``, ``away`` and ``away_views`` are the member's state
-        in its reply. A member at a later view never counts for an earlier one, nor does
-        a member that has applied tickets which this node has not: with a majority that
-        contains it, this node would serve by what that member knows to be withdrawn.
+        ``view_number``, ``applied``, ``away`` (the member has lost the platform) and
+        ``away_views`` (its `outage_views`) are from its reply. A member at a later view
+        never counts for an earlier one, nor does a member that has applied tickets
+        which this node has not: with a majority that contains it, this node would serve
+        by what that member knows to be withdrawn.
         """
         if member == self.member or member not in self._relevant_members:
             return
@@ -240,7 +242,7 @@
 
         Needs a fresh timestamp and a majority of the view that has not lost the
         platform under this view: such a majority and the one of ``peer_until_ms`` share
-        a member, so within one view both rights overlap at most for ``contact_ms``.
+        a member, so within one view both can decide for at most ``contact_ms``.
         """
         reachable_ms = self._current_deadlines(now_ms).reachable_ms
         if not self.confirmed(now_ms):
@@ -300,11 +302,11 @@
         )
 
     def is_settled(self, view_number: ViewNumber, now_ms: float) -> bool:
-        """Return True if no right by an earlier view can still be in use.
+        """Return True if no authority under an earlier view can still be in use.
 
         A takeover by a view (of rate shares or operation records) waits for this: a
         majority of each previous view was seen at this view or a later one, and the
-        rights of nodes that had counted on that majority before have expired since.
+        authority of nodes that had counted on that majority has expired since.
         """
         self._refresh(now_ms)
         return view_number <= self._settled_view
@@ -337,7 +339,7 @@
     def _may_shorten(self, old_contact: _Contact, new_contact: _Contact) -> bool:
         return (
             old_contact.view != new_contact.view
-            or old_contact.away != new_contact.away
+            or old_contact.lost_platform != new_contact.lost_platform
             or new_contact.applied > self.applied
         )
 
@@ -360,7 +362,7 @@
                 >= majority(len(previous.members))
                 for previous in previous_views
             ):
-                # Without a previous view no right has to expire.
+                # Without a previous view no authority has to expire.
                 pending.confirmed_ms = now_ms if previous_views else NEVER
             expired_ms = now_ms - self._limits.expiry_ms
             if pending.confirmed_ms is not None and pending.confirmed_ms <= expired_ms:
@@ -394,7 +396,7 @@
         view = self._view
         if view is None or self.member not in self._member_ids:
             return _Deadlines()
-        away = self.has_lost_platform(now_ms)
+        lost_platform = self.has_lost_platform(now_ms)
         counted_contacts = [
             contact
             for contact in self._contacts.values()
@@ -409,14 +411,22 @@
                 now_ms,
             ),
             self._contact_deadline_ms(
-                (counted.at_ms for counted in counted_contacts if counted.away),
-                away,
+                (
+                    counted.at_ms
+                    for counted in counted_contacts
+                    if counted.lost_platform
+                ),
+                lost_platform,
                 needed_count,
                 now_ms,
             ),
             self._contact_deadline_ms(
-                (counted.at_ms for counted in counted_contacts if not counted.away),
-                not away,
+                (
+                    counted.at_ms
+                    for counted in counted_contacts
+                    if not counted.lost_platform
+                ),
+                not lost_platform,
                 needed_count,
                 now_ms,
             ),
--- a/src/crocusspindle/core/fair_queue.py
+++ b/src/crocusspindle/core/fair_queue.py
@@ -144,7 +144,7 @@
         active = sum(flow.weight for flow in self._flows.values() if flow.items)
         return min(1.0, own.weight / active) if active > 0 else 1.0
 
-    def most_over_share(self) -> RequestId | None:
+    def last_request_over_share(self) -> RequestId | None:
         """Return the last request of the customer with most queued for its weight."""
         queued = [flow for flow in self._flows.values() if flow.items]
         if not queued:
--- a/src/crocusspindle/core/group_reference.py
+++ b/src/crocusspindle/core/group_reference.py
@@ -17,7 +17,7 @@
 DAY_MS = 86_400_000.0
 
 MAX_FAILURE_RATE = 0.9
-"""Upper bound of the learned rate: if nearly all requests fail everywhere, targets
+"""Upper bound of the learnt rate: if nearly all requests fail everywhere, targets
 cannot be distinguished."""
 
 
--- a/src/crocusspindle/core/health_state.py
+++ b/src/crocusspindle/core/health_state.py
@@ -7,7 +7,7 @@
 
 
 class Outcome(Enum):
-    """Say how one attempt of a request on a target ended."""
+    """Name the end of one attempt of a request on a target."""
 
     OK = "ok"
     ERROR = "error"
@@ -19,7 +19,7 @@
 
 
 class HealthState(Enum):
-    """Say how a group uses a target; a ramping target is HEALTHY."""
+    """Name the way a group uses a target; a ramping target is HEALTHY."""
 
     HEALTHY = "healthy"
     SUSPECT = "suspect"
--- a/src/crocusspindle/core/holder_cache.py
+++ b/src/crocusspindle/core/holder_cache.py
@@ -9,7 +9,7 @@
 from crocusspindle.core.rendezvous import score
 from crocusspindle.ids import CustomerId, DomainId, MemberId
 
-MAX_PLACEMENTS: Final = 65_536
+MAX_CACHED_CUSTOMERS: Final = 65_536
 """Customers whose holders are cached."""
 
 MAX_CHANGES: Final = 64
@@ -34,14 +34,14 @@
     def __init__(self) -> None:
         self._members: frozenset[ViewMember] = frozenset()
         self._domain_of: dict[MemberId, DomainId] = {}
-        self._placement = HolderSelector(())
+        self._selector = HolderSelector(())
         self._domains = 0
         self._changes: deque[_Change] = deque(maxlen=MAX_CHANGES)
         self._version = 0
         self._cached: dict[CustomerId, tuple[int, int, tuple[MemberId, ...]]] = {}
 
     def install(
-        self, members: tuple[ViewMember, ...], placement: HolderSelector
+        self, members: tuple[ViewMember, ...], selector: HolderSelector
     ) -> None:
         """Apply the members of a newer view."""
         members_now = frozenset(members)
@@ -56,7 +56,7 @@
         )
         self._version += 1
         self._members, self._domain_of = members_now, domain_of
-        self._placement, self._domains = placement, len(domains)
+        self._selector, self._domains = selector, len(domains)
 
     def forget(self, customer: CustomerId) -> None:
         """Drop a customer's cached holders."""
@@ -69,8 +69,8 @@
         if cached is not None and self._is_current(limit.customer, count, cached):
             chosen = cached[2]
         else:
-            chosen = self._placement.holders(limit.customer, count)
-        if cached is None and len(self._cached) >= MAX_PLACEMENTS:
+            chosen = self._selector.holders(limit.customer, count)
+        if cached is None and len(self._cached) >= MAX_CACHED_CUSTOMERS:
             self._cached.clear()
         if cached is None or cached[0] != self._version or cached[2] is not chosen:
             self._cached[limit.customer] = (self._version, count, chosen)
--- a/src/crocusspindle/core/holders.py
+++ b/src/crocusspindle/core/holders.py
@@ -26,7 +26,7 @@
 
 MIN_SPLIT_BURST: Final = 2
 MAX_HOLDERS: Final = 8
-"""Maximum number of holders: a borrower then asks at most seven others."""
+"""Maximum number of holders: a borrower then has at most seven possible lenders."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/crocusspindle/core/latency_reference.py
+++ b/src/crocusspindle/core/latency_reference.py
@@ -10,7 +10,7 @@
 EDGES_MS: Final = tuple(MIN_LATENCY_MS * BUCKET_RATIO**i for i in range(BUCKETS))
 
 MIN_SAMPLES: Final = 50.0
-"""Fewer samples say nothing about the tail, so no target is judged by them."""
+"""Fewer samples say nothing about the tail, so no target is evaluated by them."""
 
 TAIL_INDEX: Final = 2.0
 """Pareto index assumed beyond the longest latency seen: a heavy tail."""
@@ -30,7 +30,7 @@
 
     ``hazard`` is -ln of that probability. For healthy work it is exponentially
     distributed with mean 1 whatever the distribution of latencies, so no assumption
-    about the callers' work is needed and uploads and look-ups may be mixed.
+    about the callers' work is needed and uploads and lookups may be mixed.
     """
 
     def __init__(self, cap_nats: float, decay_ms: float) -> None:
--- a/src/crocusspindle/core/latency_window.py
+++ b/src/crocusspindle/core/latency_window.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import Final
 
-_WINDOW: Final = 512
+_WINDOW_SIZE: Final = 512
 """Number of samples kept. 25 of them lie above the 95th percentile, and at 130 requests
 a second the window follows a change within 4 s."""
 
@@ -22,7 +22,7 @@
     """Estimate the mean and quantiles of recent latencies."""
 
     def __init__(self) -> None:
-        self._samples: deque[float] = deque(maxlen=_WINDOW)
+        self._samples: deque[float] = deque(maxlen=_WINDOW_SIZE)
         self._sorted: list[float] = []
         self._unsorted = 0
         self.mean_ms: float | None = None
--- a/src/crocusspindle/core/lenders.py
+++ b/src/crocusspindle/core/lenders.py
@@ -31,16 +31,17 @@
 """How long the first holder keeps its fractions after each loan request.
 
 Two requests at two holders may each lack a fraction: each holder would lend the other
-what that one lacks, and both would go on asking until a token is refilled, up to two
-seconds at 1/s. Only the first holder in order keeps its own, so one request completes.
+what that one lacks, and both would keep requesting until a token is refilled, up to
+two seconds at 1/s. Only the first holder in order keeps its own, so one request
+completes.
 """
 
 MIN_REFUSAL_BACKOFF_MS: Final = 15.0
 """Minimum backoff after a lender refused a loan.
 
 Otherwise the requests of a burst that drains all shares at once would circulate among
-the holders for as long as tokens are refilled. The time suffices to ask every holder
-once.
+the holders for as long as tokens are refilled. The time suffices for one request to
+every holder.
 """
 
 DECAY_MARGIN_MS: Final = 20.0
@@ -84,10 +85,10 @@
     ``loan_pool`` holds what a node without a share has borrowed and not yet spent.
     """
 
-    __slots__ = ("_notes", "collects_until_ms", "loan_pool", "top_up_at_ms")
+    __slots__ = ("_lender_states", "collects_until_ms", "loan_pool", "top_up_at_ms")
 
     def __init__(self) -> None:
-        self._notes: dict[MemberId, LenderState] = {}
+        self._lender_states: dict[MemberId, LenderState] = {}
         self.loan_pool = LoanPool()
         self.top_up_at_ms = -math.inf
         self.collects_until_ms = -math.inf
@@ -98,13 +99,13 @@
         """Record a reply; ``refused_ms`` is how long the lender expects no token."""
         if refused_ms > 0.0:
             refused_ms = max(refused_ms, MIN_REFUSAL_BACKOFF_MS)
-        self._notes[lender] = LenderState(
+        self._lender_states[lender] = LenderState(
             available, now_ms, now_ms, now_ms + refused_ms
         )
 
     def record_no_reply(self, lender: MemberId, now_ms: float) -> None:
         """Record a loan request without a reply."""
-        state = self._notes.setdefault(lender, LenderState(0.0, now_ms))
+        state = self._lender_states.setdefault(lender, LenderState(0.0, now_ms))
         state.backoff_ms = min(
             MAX_BACKOFF_MS, max(INITIAL_BACKOFF_MS, 2 * state.backoff_ms)
         )
@@ -113,10 +114,10 @@
         state.estimated_at_ms = state.quoted_at_ms = now_ms
 
     def estimates(self, peers: OtherHolders, now_ms: float) -> dict[MemberId, float]:
-        """Return the estimated tokens of each holder; full if it was never asked."""
+        """Return the estimated tokens of each holder; full before any request."""
         return {
-            holder: self._notes[holder].estimate(peers, now_ms)
-            if holder in self._notes
+            holder: self._lender_states[holder].estimate(peers, now_ms)
+            if holder in self._lender_states
             else peers.cap
             for holder in peers.holders
         }
@@ -126,18 +127,18 @@
     ) -> None:
         """Deduct a requested amount from the estimate until the reply is received.
 
-        Otherwise all requests of a burst at one entry would ask the same holder,
-        which would soon have to gather for each of them.
+        Otherwise all requests of a burst at one entry would borrow from the same
+        holder, which would soon have to gather for each of them.
         """
-        state = self._notes.get(lender)
+        state = self._lender_states.get(lender)
         if state is None:
-            state = self._notes[lender] = LenderState(peers.cap, -math.inf)
+            state = self._lender_states[lender] = LenderState(peers.cap, -math.inf)
         state.quoted = max(0.0, state.estimate(peers, now_ms) - amount)
         state.estimated_at_ms = now_ms
 
     def has_asked_all(self, peers: OtherHolders) -> bool:
-        """Return True if every other holder has been asked at least once."""
-        return all(holder in self._notes for holder in peers.holders)
+        """Return True if every other holder was sent a loan request at least once."""
+        return all(holder in self._lender_states for holder in peers.holders)
 
     def _stale_quotes(
         self, holders: Sequence[MemberId], now_ms: float
@@ -145,19 +146,19 @@
         return [
             holder
             for holder in holders
-            if holder not in self._notes
-            or now_ms - self._notes[holder].quoted_at_ms > QUOTE_TTL_MS
+            if holder not in self._lender_states
+            or now_ms - self._lender_states[holder].quoted_at_ms > QUOTE_TTL_MS
         ]
 
     def choose_for_holder(
         self, peers: OtherHolders, need: float, extra: float, now_ms: float
     ) -> Borrow | None:
-        """Choose which holder another holder asks; None if all have too little.
+        """Choose a lender for another holder; return None if all have too little.
 
         Near its rate, the shares of a customer of 1/s and burst 2 hold fractions most
         of the time. They are collected in a holder's own bucket, where none is lost,
-        and only once the quotes of all lenders are valid. Until then each lender is
-        asked for all that is needed, so that no fraction is moved in vain.
+        and only once the quotes of all lenders are valid. Until then each loan
+        request is for all that is needed, so that no fraction is moved for nothing.
         """
         estimates = self.estimates(peers, now_ms)
         self.collects_until_ms = -math.inf
@@ -179,22 +180,22 @@
     def choose_for_non_holder(
         self, own_member: MemberId, peers: OtherHolders, need: float, now_ms: float
     ) -> Borrow | float:
-        """Choose which holder a node without a share asks, or return when to retry.
+        """Choose a lender for a node without a share, or return when to retry.
 
-        Callers may use any entry. Such a node asks one holder for a whole token, which
-        the holder gathers if necessary; fractions would decay here. A holder that
-        refused is not asked again before it can have a token, so that refusing a
-        customer far over its rate costs no message.
+        Callers may use any entry. Such a node requests a whole token from one holder,
+        which gathers it if necessary; fractions would decay here. A holder that refused
+        gets no request before it can have a token, so that refusing a customer far over
+        its rate costs no message.
         """
         candidates = {
             holder: estimate
             for holder, estimate in self.estimates(peers, now_ms).items()
-            if holder not in self._notes
-            or now_ms >= self._notes[holder].refused_until_ms
+            if holder not in self._lender_states
+            or now_ms >= self._lender_states[holder].refused_until_ms
         }
         if not candidates:
             retry_times_ms = [
-                self._notes[each].refused_until_ms for each in peers.holders
+                self._lender_states[each].refused_until_ms for each in peers.holders
             ]
             return min(retry_times_ms, default=now_ms)
         ranked = sorted(
--- a/src/crocusspindle/core/loans.py
+++ b/src/crocusspindle/core/loans.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Borrow:
-    """Ask the first of ``holders`` for ``missing`` tokens, then pass on the result.
+    """Request ``missing`` tokens from the first of ``holders``; pass on the result.
 
     With ``gather`` that holder first collects from the others what it lacks.
     """
--- a/src/crocusspindle/core/local_shares.py
+++ b/src/crocusspindle/core/local_shares.py
@@ -43,7 +43,7 @@
 class _View:
     number: ViewNumber
     members: tuple[ViewMember, ...]
-    placement: HolderSelector
+    selector: HolderSelector
     opens_at_ms: float = float("inf")
 
 
@@ -52,7 +52,7 @@
     """Hold one share, since which view it is held, and the number of holders."""
 
     bucket: ShareBucket
-    since: ViewNumber
+    since_view: ViewNumber
     opens_at_ms: float
     count: int
 
@@ -78,7 +78,7 @@
         self._removed_ms: OrderedDict[CustomerId, float] = OrderedDict()
         self._forgotten_removed_ms = -float("inf")
         self._views: deque[_View] = deque(maxlen=MAX_KEPT_VIEWS)
-        self._placements = HolderCache()
+        self._holder_cache = HolderCache()
         self._local_shares: dict[CustomerId, LocalShare] = {}
 
     @property
@@ -110,7 +110,7 @@
             self._limits[name] = customer
         if previous is not None and name not in self._local_shares:
             self.open_bucket(previous, now_ms)
-        self._placements.forget(name)
+        self._holder_cache.forget(name)
         holders = self.holders(customer)
         local_share = self._local_shares.get(name)
         if self._own_member not in holders:
@@ -136,7 +136,7 @@
     def remove_limit(self, customer: CustomerId, now_ms: float) -> None:
         """Apply a ticket that removes a customer."""
         self._limits.pop(customer, None)
-        self._placements.forget(customer)
+        self._holder_cache.forget(customer)
         self._local_shares.pop(customer, None)
         self._removed_ms[customer] = now_ms
         self._removed_ms.move_to_end(customer)
@@ -221,7 +221,7 @@
 
     def _install(self, view: _View) -> None:
         self._views.append(view)
-        self._placements.install(view.members, view.placement)
+        self._holder_cache.install(view.members, view.selector)
 
     def _update_share(
         self, name: CustomerId, local_share: LocalShare, now_ms: float
@@ -246,8 +246,9 @@
             if view.number <= view_number and view.opens_at_ms == float("inf"):
                 view.opens_at_ms = opens_at_ms
         for local_share in self._local_shares.values():
-            if local_share.since <= view_number and local_share.opens_at_ms == float(
-                "inf"
+            if (
+                local_share.since_view <= view_number
+                and local_share.opens_at_ms == float("inf")
             ):
                 local_share.opens_at_ms = opens_at_ms
                 local_share.bucket.open_at(opens_at_ms)
@@ -259,11 +260,11 @@
 
     def holders(self, limit: Customer) -> tuple[MemberId, ...]:
         """Return the holders of a customer in the newest view."""
-        return self._placements.holders(limit) if self._views else ()
+        return self._holder_cache.holders(limit) if self._views else ()
 
     def _holders_in(self, view: _View, limit: Customer) -> tuple[MemberId, ...]:
         count = holder_count(limit.rate_per_s, limit.burst)
-        return view.placement.holders(limit.customer, count)
+        return view.selector.holders(limit.customer, count)
 
     def open_bucket(self, limit: Customer, now_ms: float) -> ShareBucket | None:
         """Return the bucket of a share that this member may spend from.
@@ -282,13 +283,13 @@
 
     def _open_on_first_use(self, limit: Customer, count: int) -> LocalShare:
         """Open a share at its first request, as of the oldest view that assigns it."""
-        since = self._views[-1]
+        since_view = self._views[-1]
         for view in reversed(self._views):
             if self._own_member not in (holders := self._holders_in(view, limit)):
                 break
             if len(holders) != count:
                 break
-            since = view
+            since_view = view
         cap, rate_per_ms = self.share(limit, count)
-        bucket = ShareBucket(cap, rate_per_ms, since.opens_at_ms)
-        return LocalShare(bucket, since.number, since.opens_at_ms, count)
+        bucket = ShareBucket(cap, rate_per_ms, since_view.opens_at_ms)
+        return LocalShare(bucket, since_view.number, since_view.opens_at_ms, count)
--- a/src/crocusspindle/core/members.py
+++ b/src/crocusspindle/core/members.py
@@ -173,8 +173,9 @@
     """Hold the times of the member view.
 
     ``silence_ms`` must exceed an ordinary pause (garbage collection, a busy host) and
-    the freshness limit, so that a removed member has been ineligible by rule 1 before.
-    ``outage_kept_ms`` is the retention of operation keys plus a margin.
+    the freshness limit, so that a removed member has been ineligible by rule 1 (see
+    `eligibility`) before. ``outage_kept_ms`` is the retention of operation keys plus a
+    margin.
     """
 
     silence_ms: float = 10_000.0
@@ -339,7 +340,7 @@
         self, current: MemberView, joining: list[ViewMember]
     ) -> frozenset[MemberId]:
         # A process owns its address, so a later start there proves that the previous
-        # one stopped. Else the view could not change after a majority loses power.
+        # one stopped. Without this no view could follow when a majority loses power.
         reused_addresses = {member.peer_address for member in joining}
         replaced = {
             member.member
--- a/src/crocusspindle/core/model.py
+++ b/src/crocusspindle/core/model.py
@@ -11,14 +11,14 @@
 
 
 class TargetState(Enum):
-    """Say whether a target may get new work according to the platform's host list."""
+    """Name the state of a target in the host list; a leaving one gets no new work."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class KeyState(Enum):
-    """Say whether a customer's key may still be used."""
+    """Name the state of a customer's key; a withdrawn one may not be used."""
 
     ACTIVE = "active"
     WITHDRAWN = "withdrawn"
--- a/src/crocusspindle/core/operation_entries.py
+++ b/src/crocusspindle/core/operation_entries.py
@@ -216,15 +216,15 @@
         ]
 
     def record_flush(
-        self, name: OperationName, version: int, found: bytes | None
+        self, name: OperationName, version: int, found_row: bytes | None
     ) -> bool:
         """Record the row after a flush; return True if it matches the record."""
         entry = self._entries.get(name)
         if entry is None or not entry.unflushed:
             return True
         entry.row_version = version
-        if found is not None:
-            row = decode_record(found)
+        if found_row is not None:
+            row = decode_record(found_row)
             same = row.attempt == entry.record.attempt
             entry.unflushed = row.state is not RecordState.DONE and not (
                 same and row.state is entry.record.state
--- a/src/crocusspindle/core/operation_holders.py
+++ b/src/crocusspindle/core/operation_holders.py
@@ -72,7 +72,7 @@
             self._since_ms.pop(name, None)
         for name in names:
             self._since_ms.setdefault(name, start_ms)
-        self._note_outages(view)
+        self._record_outages(view)
         self.view = view
         self._holders_cache.clear()
         self._prune(now_ms)
@@ -141,7 +141,7 @@
         self._continuous_since_ms = float("-inf")
         return True
 
-    def note_outage(
+    def record_outage(
         self, view: ViewNumber, members: Iterable[MemberId] | None = None
     ) -> None:
         """Record an outage under a view; members default to the stored member list."""
@@ -200,15 +200,15 @@
                 names |= set(skipped.members)
         return names
 
-    def _note_outages(self, view: MemberView) -> None:
+    def _record_outages(self, view: MemberView) -> None:
         self._member_lists.update({past.view: past.members for past in view.formers})
         self._member_lists[view.number] = view.names
         for number in sorted(self._member_lists)[:-MAX_MEMBER_LISTS]:
             del self._member_lists[number]
         for outage in view.outages:
-            self.note_outage(outage.view, outage.members)
+            self.record_outage(outage.view, outage.members)
         for number in self._outages:
-            self.note_outage(number)
+            self.record_outage(number)
         # An older outage that the view does not list is past every key's window.
         kept = {past.view for past in view.outages}
         kept.update(at for at in self._outages if at >= view.oldest_previous_view)
--- a/src/crocusspindle/core/operations.py
+++ b/src/crocusspindle/core/operations.py
@@ -82,7 +82,7 @@
     def note_outages(self, views: Iterable[ViewNumber]) -> None:
         """Record the views under which members acted without the platform."""
         for view in views:
-            self.holder_history.note_outage(view)
+            self.holder_history.record_outage(view)
 
     def begin(
         self,
@@ -253,13 +253,13 @@
         return self._entries.unflushed(self._view_number)
 
     def flush_result(
-        self, name: OperationName, version: int, found: bytes | None
+        self, name: OperationName, version: int, found_row: bytes | None
     ) -> bool:
-        """Record the current row; ``found`` is None if this node's put took effect.
+        """Record the current row; ``found_row`` is None if this node's put took effect.
 
         Returns False if the row is behind the record and must be written again.
         """
-        return self._entries.record_flush(name, version, found)
+        return self._entries.record_flush(name, version, found_row)
 
     def load(self, record: Record, row_version: int, now_ms: float) -> None:
         """Store a table row that was read to complete this node's records."""
--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -66,7 +66,7 @@
 MAX_TRACKED_CUSTOMERS: Final = 4_096
 """Customers whose lenders are remembered; evicting one loses no token on loan."""
 
-LISTED_SHARES: Final = 20
+MAX_LISTED_SHARES: Final = 20
 """Shares that the status lists individually, the emptiest first."""
 
 
@@ -136,7 +136,7 @@
         self._shares.expire_shares(now_ms)
 
     def holders(self, customer: Customer) -> tuple[MemberId, ...]:
-        """Return the holders of a customer, which callers are told to use."""
+        """Return the holders of a customer, whose addresses its callers get."""
         return self._shares.holders(customer)
 
     def spend(
@@ -405,5 +405,5 @@
             held=len(shares),
             waiting=sum(share.opens_at_ms > now_ms for share in shares),
             borrowing=len(self._lenders),
-            emptiest=tuple(shares[:LISTED_SHARES]),
+            emptiest=tuple(shares[:MAX_LISTED_SHARES]),
         )
--- a/src/crocusspindle/core/slots.py
+++ b/src/crocusspindle/core/slots.py
@@ -67,7 +67,7 @@
     def succeeded(self, latency_ms: float, has_queued: bool) -> None:
         """Free the slot of an answered request and update the limit.
 
-        ``has_queued`` says that requests wait; only then is a higher limit useful.
+        ``has_queued`` is True if requests wait; only then is a higher limit useful.
         """
         at_limit = self.running >= self.limit
         self.running -= 1
--- a/src/crocusspindle/core/timers.py
+++ b/src/crocusspindle/core/timers.py
@@ -12,7 +12,7 @@
 
 
 class TimerKind(Enum):
-    """Say what a timer is for."""
+    """Name the purpose of a timer."""
 
     DEADLINE = "deadline"
     HEDGE = "hedge"
--- a/tests/core/ledger_simulation.py
+++ b/tests/core/ledger_simulation.py
@@ -60,9 +60,13 @@
 
     def authority(self, node: Node, prefer_peer: bool) -> DecisionAuthority:
         now_ms = self.fleet.now(node)
-        node.ledger.note_outages(node.fitness.outage_views(now_ms))
-        peer = DecisionAuthority(LedgerMode.PEER, node.fitness.peer_until_ms(now_ms))
-        table = DecisionAuthority(LedgerMode.TABLE, node.fitness.table_until_ms(now_ms))
+        node.ledger.note_outages(node.eligibility.outage_views(now_ms))
+        peer = DecisionAuthority(
+            LedgerMode.PEER, node.eligibility.peer_until_ms(now_ms)
+        )
+        table = DecisionAuthority(
+            LedgerMode.TABLE, node.eligibility.table_until_ms(now_ms)
+        )
         choices = [peer, table] if prefer_peer else [table, peer]
         return next((choice for choice in choices if now_ms < choice.until_ms), table)
 
@@ -229,8 +233,8 @@
         now_ms, view = self.fleet.now(node), node.view
         if view is None or node.own_member.member not in self.fleet.reaching_platform:
             return
-        settled = node.fitness.is_settled(view.number, now_ms)
-        if not settled or now_ms >= node.fitness.table_until_ms(now_ms):
+        settled = node.eligibility.is_settled(view.number, now_ms)
+        if not settled or now_ms >= node.eligibility.table_until_ms(now_ms):
             return
         for version, value in self.rows.values():
             node.ledger.load(decode_record(value), version, now_ms)
--- a/tests/core/shares_world.py
+++ b/tests/core/shares_world.py
@@ -41,10 +41,10 @@
     ticket: int = 0
     timestamp_ms: float = -1e18
     echo_ms: dict[str, float] = field(default_factory=dict)
-    seen: dict[str, int] = field(default_factory=dict)
+    seen_views: dict[str, int] = field(default_factory=dict)
     activated: int = 0
     paused: bool = False
-    cut: bool = False
+    isolated: bool = False
 
     def now_ms(self, true_ms: float) -> float:
         return self.offset_ms + true_ms * self.clock
@@ -111,21 +111,21 @@
         self.activate(node, force=not self.faults.wait_for_majority)
 
     def poll(self, node: Node) -> None:
-        if self.platform_up and not node.paused and not node.cut:
+        if self.platform_up and not node.paused and not node.isolated:
             self.learn(node, len(self.views) - 1, len(self.tickets))
             node.timestamp_ms = node.now_ms(self.true_ms)
 
     def contact(self, node: Node, peer: Node) -> None:
-        if node.paused or peer.paused or node.cut or peer.cut or node is peer:
+        if node.paused or peer.paused or node.isolated or peer.isolated or node is peer:
             return
         self.learn(node, peer.view, peer.ticket)
-        node.seen[peer.member.member] = peer.view
+        node.seen_views[peer.member.member] = peer.view
         if peer.view == node.view:
             node.echo_ms[peer.member.member] = node.now_ms(self.true_ms)
         self.activate(node)
 
     def activate(self, node: Node, force: bool = False) -> None:
-        node.seen[node.member.member] = node.view
+        node.seen_views[node.member.member] = node.view
         earlier_views = self.views[max(1, node.activated) : node.view]
         if force or all(
             self._majority_adopted(node, members) for members in earlier_views
@@ -136,7 +136,7 @@
             node.activated = node.view
 
     def _majority_adopted(self, node: Node, members: tuple[ViewMember, ...]) -> bool:
-        adopted = [node.seen.get(each.member, 0) >= node.view for each in members]
+        adopted = [node.seen_views.get(each.member, 0) >= node.view for each in members]
         return 2 * sum(adopted) > len(members)
 
     def eligible_until_ms(self, node: Node) -> float:
@@ -220,7 +220,11 @@
         """Deliver the request to the lender, or the loan to the borrower."""
         lender = self.nodes[loan_request.lender]
         if loan_request.loan is None:
-            if not lender.paused and not lender.cut and not loan_request.borrower.cut:
+            if (
+                not lender.paused
+                and not lender.isolated
+                and not loan_request.borrower.isolated
+            ):
                 until_ms = self.eligible_until_ms(lender)
                 now_ms = lender.now_ms(self.true_ms)
                 name, missing = loan_request.customer, loan_request.missing
@@ -364,7 +368,7 @@
             self.refund(-rng.randrange(1, min(20, len(self.admitted)) + 1))
         elif draw < 0.94:
             node.paused = rng.random() < 0.25
-            node.cut = rng.random() < 0.25
+            node.isolated = rng.random() < 0.25
         elif draw < 0.96 and len(self.views) < 12:
             self.change_view(rng.choice(self.views[-1]))
         elif draw < 0.98:
--- a/tests/core/small_fleet.py
+++ b/tests/core/small_fleet.py
@@ -26,7 +26,7 @@
     own_member: ViewMember
     offset_ms: float
     rate: float
-    fitness: Eligibility
+    eligibility: Eligibility
     membership: Membership
     ledger: OperationLedger
     applied: int = 0
@@ -44,7 +44,7 @@
     Node clocks start at different offsets and run up to 2 % fast or slow.
     """
 
-    fitness_type: type[Eligibility] = Eligibility
+    eligibility_type: type[Eligibility] = Eligibility
     ledger_limits: LedgerLimits = field(default_factory=LedgerLimits)
     time_ms: float = 0.0
     nodes: dict[MemberId, Node] = field(default_factory=dict)
@@ -63,7 +63,7 @@
             own_member,
             offset_ms=977.0 * index,
             rate=1.0 + 0.02 * (index % 3 - 1),
-            fitness=self.fitness_type(member),
+            eligibility=self.eligibility_type(member),
             membership=Membership(own_member, LIMITS),
             ledger=OperationLedger(member, self.ledger_limits),
         )
@@ -85,21 +85,21 @@
     def adopt(self, node: Node, view: MemberView) -> None:
         now_ms = self.now(node)
         if node.membership.adopt(view, now_ms) is not None:
-            node.fitness.adopt(view, now_ms)
+            node.eligibility.adopt(view, now_ms)
             node.ledger.adopt(view, now_ms)
 
     def poll(self, node: Node) -> None:
         if node.own_member.member not in self.reaching_platform:
-            node.fitness.record_platform_failure(self.now(node))
+            node.eligibility.record_platform_failure(self.now(node))
             return
         if self.row:
             self.adopt(node, decode_view(self.row))
         self.apply(node, len(self.tickets))
-        node.fitness.record_read(self.now(node))
+        node.eligibility.record_read(self.now(node))
 
     def apply(self, node: Node, number: int) -> None:
         node.applied = max(node.applied, number)
-        node.fitness.applied = TicketNumber(node.applied)
+        node.eligibility.applied = TicketNumber(node.applied)
 
     def send_heartbeat(self, node: Node, peer: Node, delay_ms: float = 0.0) -> None:
         """Deliver a heartbeat sent ``delay_ms`` ago, with the peer's reply sent now."""
@@ -119,17 +119,17 @@
             )
         if peer.view is not None:
             self.adopt(node, peer.view)
-        age_ms = peer.fitness.timestamp_age_ms(self.now(peer))
+        age_ms = peer.eligibility.timestamp_age_ms(self.now(peer))
         self.apply(node, peer.applied)
         if age_ms is not None:
-            node.fitness.record_relayed_read(sent_ms, age_ms)
-        node.fitness.record_echo(
+            node.eligibility.record_relayed_read(sent_ms, age_ms)
+        node.eligibility.record_echo(
             peer.own_member.member,
             peer.view.number if peer.view else ViewNumber(0),
             sent_ms,
             applied=peer.applied,
-            away=peer.fitness.has_lost_platform(self.now(peer)),
-            away_views=peer.fitness.outage_views(self.now(peer)),
+            away=peer.eligibility.has_lost_platform(self.now(peer)),
+            away_views=peer.eligibility.outage_views(self.now(peer)),
         )
 
     def round(self, *, gossip: bool = True) -> None:
@@ -141,25 +141,25 @@
                 if peer is not node:
                     self.send_heartbeat(node, peer)
         for node in self.awake():
-            node.fitness.is_eligible(self.now(node))
+            node.eligibility.is_eligible(self.now(node))
 
     def rounds(self, count: int) -> None:
         for _ in range(count):
             self.round()
 
-    def standing(self, node: Node) -> ProposerState:
+    def proposer_state(self, node: Node) -> ProposerState:
         now_ms = self.now(node)
         return ProposerState(
-            eligible=now_ms < node.fitness.fresh_until_ms(),
-            in_majority=now_ms < node.fitness.contact_until_ms(now_ms),
-            confirmed=node.fitness.confirmed(now_ms),
+            eligible=now_ms < node.eligibility.fresh_until_ms(),
+            in_majority=now_ms < node.eligibility.contact_until_ms(now_ms),
+            confirmed=node.eligibility.confirmed(now_ms),
         )
 
     def outages(self, node: Node) -> list[Outage]:
-        away = node.fitness.outage_views(self.now(node))
+        outage_views = node.eligibility.outage_views(self.now(node))
         return [
             Outage(number, int(self.time_ms), self.views[number].names)
-            for number in away
+            for number in outage_views
             if number in self.views
         ]
 
@@ -168,7 +168,10 @@
         if node.own_member.member not in self.reaching_platform:
             return False
         proposed = node.membership.propose(
-            self.standing(node), self.now(node), int(self.time_ms), self.outages(node)
+            self.proposer_state(node),
+            self.now(node),
+            int(self.time_ms),
+            self.outages(node),
         )
         if isinstance(proposed, NoProposalReason):
             return False
@@ -182,10 +185,10 @@
 
     def partition(self, group: set[MemberId]) -> None:
         """Partition a group from the rest in both directions."""
-        for one in self.nodes:
+        for member in self.nodes:
             for other in self.nodes:
-                if (one in group) != (other in group):
-                    self.blocked.add((one, other))
+                if (member in group) != (other in group):
+                    self.blocked.add((member, other))
 
 
 def started_fleet(count: int, **options: object) -> Fleet:
--- a/tests/core/test_caller_addresses.py
+++ b/tests/core/test_caller_addresses.py
@@ -1,6 +1,6 @@
 """Return the right addresses to callers while nodes start and leave."""
 
-from crocusspindle.core.caller_addresses import ADDRESSES_MAX, caller_addresses
+from crocusspindle.core.caller_addresses import MAX_ADDRESSES, caller_addresses
 from crocusspindle.core.members import ViewMember
 from crocusspindle.ids import DomainId, MemberId
 
@@ -28,7 +28,7 @@
 
 
 def test_a_node_that_has_just_started_returns_the_members():
-    """It is asked before its first heartbeats are answered, and is not a member yet.
+    """A caller calls before the node's first heartbeats are answered: no member yet.
 
     Without any address callers would fail at once while the whole fleet serves.
     """
@@ -37,5 +37,5 @@
 
 
 def test_the_number_of_addresses_is_bounded():
-    members = [member(number) for number in range(ADDRESSES_MAX + 9)]
-    assert len(caller_addresses(members, lambda name: True, None)) == ADDRESSES_MAX
+    members = [member(number) for number in range(MAX_ADDRESSES + 9)]
+    assert len(caller_addresses(members, lambda name: True, None)) == MAX_ADDRESSES
--- a/tests/core/test_directory.py
+++ b/tests/core/test_directory.py
@@ -88,7 +88,7 @@
     assert directory.counts()["keys"] == len(keys)
 
 
-def test_keys_of_a_removed_customer_authenticate_nobody():
+def test_keys_of_a_removed_customer_do_not_authenticate():
     # A new customer gets the row of a removed one. A key that still pointed to that
     # row would let the removed caller act, and be billed, as the new customer.
     directory = Directory()
@@ -101,7 +101,7 @@
     assert directory.counts()["keys"] == 0
 
 
-def test_a_withdrawn_key_is_known_but_authenticates_nobody():
+def test_a_withdrawn_key_is_known_but_does_not_authenticate():
     directory = Directory()
     directory.put_customer(CLUB)
     withdrawn = key_of(CLUB, "leaked", KeyState.WITHDRAWN)
--- a/tests/core/test_eligibility.py
+++ b/tests/core/test_eligibility.py
@@ -138,13 +138,13 @@
         node.view.number
         for node in fleet.awake()
         if node.view is not None
-        and fleet.now(node) < node.fitness.majority_until_ms(fleet.now(node))
+        and fleet.now(node) < node.eligibility.majority_until_ms(fleet.now(node))
     }
 
 
-def split_fleet(fitness_type: type[Eligibility]) -> Fleet:
+def split_fleet(eligibility_type: type[Eligibility]) -> Fleet:
     """Isolate two of five; the three lose the platform just as a view is written."""
-    fleet = started_fleet(5, fitness_type=fitness_type)
+    fleet = started_fleet(5, eligibility_type=eligibility_type)
     old = {MemberId(name) for name in ("n0", "n1", "n2")}
     fleet.partition(old)
     for name in ("n5", "n6", "n7", "n8"):
@@ -171,11 +171,11 @@
 class SplitMachine(RuleBasedStateMachine):
     """Search for failing orders of partitions, outages, pauses, restarts and views."""
 
-    fitness_type: type[Eligibility] = Eligibility
+    eligibility_type: type[Eligibility] = Eligibility
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = started_fleet(5, fitness_type=self.fitness_type)
+        self.fleet = started_fleet(5, eligibility_type=self.eligibility_type)
         self.started_count = 5
 
     def pick(self, index: int) -> Node:
@@ -220,12 +220,12 @@
         node = self.pick(index)
         node.awake = not node.awake
 
-    @rule(index=st.integers(0, 9), reaches=st.booleans(), dies=st.booleans())
-    def restart(self, index: int, reaches: bool, dies: bool) -> None:
-        if len(self.fleet.nodes) > 8 and not dies:
+    @rule(index=st.integers(0, 9), reaches=st.booleans(), kills_old=st.booleans())
+    def restart(self, index: int, reaches: bool, kills_old: bool) -> None:
+        if len(self.fleet.nodes) > 8 and not kills_old:
             return
         address = str(self.started_count)
-        if dies:
+        if kills_old:
             old = self.pick(index)
             address = old.own_member.peer_address
             self.fleet.kill(old)
@@ -254,7 +254,7 @@
         assert len(views_with_majority(self.fleet)) <= 1
         for node in self.fleet.awake():
             now_ms = self.fleet.now(node)
-            if now_ms >= node.fitness.fresh_until_ms():
+            if now_ms >= node.eligibility.fresh_until_ms():
                 continue
             # Allows for clocks up to 2 % fast or slow.
             since_ms = self.fleet.time_ms - LIMITS.freshness_ms * 1.03
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -97,9 +97,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_long_work_is_not_silence(seed: int) -> None:
-    # Most requests are short look-ups, a few are uploads a hundred times as long. At
-    # times uploads hold all slots of a target, which looks silent, and an ejection
-    # would lose them.
+    # A few requests are uploads, a hundred times as long as the lookups. At times they
+    # hold all slots of a target, which looks silent, and an ejection would lose them.
     def mixed(rng: Random, now_ms: float) -> tuple[Outcome, float]:
         mean_ms = 2_000.0 if rng.random() < 0.015 else 20.0
         return healthy(rng, now_ms)[0], rng.expovariate(1.0 / mean_ms)
--- a/tests/core/test_health_floor.py
+++ b/tests/core/test_health_floor.py
@@ -180,9 +180,8 @@
 
 
 def test_two_coordinators_with_different_evidence_keep_the_floor() -> None:
-    # A network partition leaves two coordinators for one group. Each sees the half of
-    # the targets beyond the partition fail; if both ejected it, no target would be left
-    # in service of both. The naive rule, the whole cap for each, must fail this test.
+    # In a partition each of two coordinators sees another half of the targets fail. If
+    # both ejected it (the naive rule: the whole cap for each), none would serve both.
     naive, _ = two_partitioned_coordinators(coordinators_at_once=1)
     assert naive < FLOOR
     shared, trials = two_partitioned_coordinators(coordinators_at_once=2)
@@ -211,9 +210,8 @@
 
 
 def test_worse_targets_replace_less_bad_ejected_ones() -> None:
-    # Two targets fail some of their work and are ejected, which uses up the floor's
-    # margin. Then two others fail all work and would keep serving while the two that
-    # do most of their work stay idle.
+    # Two targets that fail some work are ejected, which uses up the floor's margin. Two
+    # others then fail all work and would keep serving while the better two stay idle.
     trial = HealthTrial.from_config(count=8, slots=2, seed=3)
     names = [target.target for target in trial.targets]
     for name, begin_ms, rate in zip(
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -44,10 +44,10 @@
 def propose_view(
     membership: Membership,
     now_ms: float,
-    standing: ProposerState = ELIGIBLE,
+    proposer_state: ProposerState = ELIGIBLE,
     *outages: Outage,
 ) -> MemberView:
-    view = membership.propose(standing, now_ms, int(now_ms), outages)
+    view = membership.propose(proposer_state, now_ms, int(now_ms), outages)
     assert isinstance(view, MemberView)
     return view
 
@@ -189,19 +189,21 @@
     assert writers[0].membership.adopt(view_of(5, 1), 0.0) is None
 
 
-@pytest.mark.parametrize("deaf", ["n0", "n3"])
-def test_a_node_that_receives_nothing_does_not_remove_the_others(deaf: str) -> None:
+@pytest.mark.parametrize("non_receiver", ["n0", "n3"])
+def test_a_node_that_receives_nothing_does_not_remove_the_others(
+    non_receiver: str,
+) -> None:
     """One direction of a link fails: a node can send but receives nothing. By its own
     evidence all other members have failed, and it can reach the platform."""
     fleet = started_fleet(5)
     for other in fleet.nodes:
-        fleet.blocked.add((other, MemberId(deaf)))
+        fleet.blocked.add((other, MemberId(non_receiver)))
     fleet.rounds(8)
-    assert not fleet.propose(fleet.nodes[MemberId(deaf)])
-    assert nobody_removed(fleet)
+    assert not fleet.propose(fleet.nodes[MemberId(non_receiver)])
+    assert no_member_removed(fleet)
 
 
-def nobody_removed(fleet: Fleet) -> bool:
+def no_member_removed(fleet: Fleet) -> bool:
     for node in fleet.awake():
         fleet.propose(node)
     return len(decode_view(fleet.row).members) == len(fleet.nodes)
@@ -229,5 +231,6 @@
     view = decode_view(fleet.row)
     assert len(view.members) == 5
     assert all(
-        node.fitness.is_settled(view.number, fleet.now(node)) for node in fleet.awake()
+        node.eligibility.is_settled(view.number, fleet.now(node))
+        for node in fleet.awake()
     )
--- a/tests/core/test_shares.py
+++ b/tests/core/test_shares.py
@@ -79,15 +79,15 @@
         Customer(CustomerId(f"club-{number}"), rng.choice([1.0, 90.0, 400.0]), 50)
         for number in range(60)
     ]
-    placements = HolderCache()
+    holder_cache = HolderCache()
     for number in range(24, 200):
         del members[rng.randrange(len(members))]
         domain = DomainId(f"d{rng.randrange(4 + (number % 40 == 0))}")
         members.append(ViewMember(MemberId(f"m{number}"), domain))
-        placements.install(tuple(members), HolderSelector(members))
+        holder_cache.install(tuple(members), HolderSelector(members))
         for each in rng.sample(customers, 20):
             expected = holders_of(each.customer, each.rate_per_s, each.burst, members)
-            assert placements.holders(each) == expected
+            assert holder_cache.holders(each) == expected
 
 
 def test_a_holder_gathers_two_half_tokens_for_a_non_holder():
@@ -209,9 +209,8 @@
 
 
 def test_a_takeover_in_a_platform_outage_opens_empty_after_the_lease():
-    # The only holder of a small customer is lost while the platform is unreachable.
-    # Without a takeover the customer is refused for hours; an immediate takeover would
-    # give it two bursts if the holder still runs.
+    # A customer's only holder is lost in a platform outage. Without a takeover it is
+    # refused for hours; an immediate one admits two bursts if the holder still runs.
     tiny = Customer(CustomerId("tiny"), 0.2, 1)
     (lost_holder,) = holders_of(tiny.customer, tiny.rate_per_s, tiny.burst, MEMBERS)
     kept = [each for each in MEMBERS if each.member != lost_holder]
--- a/tests/core/test_shares_bound.py
+++ b/tests/core/test_shares_bound.py
@@ -1,4 +1,4 @@
-"""Over any window of t seconds all hosts together admit at most burst + rate x t."""
+"""Check that in any t seconds all hosts together admit at most burst + rate x t."""
 
 import pytest
 from hypothesis import settings
@@ -53,10 +53,10 @@
         if self.world.admitted:
             self.world.refund(number % len(self.world.admitted))
 
-    @rule(number=NUMBERS, paused=st.booleans(), cut=st.booleans())
-    def disturb(self, number, paused, cut):
+    @rule(number=NUMBERS, paused=st.booleans(), isolated=st.booleans())
+    def disturb(self, number, paused, isolated):
         node = self.node(number)
-        node.paused, node.cut = paused, cut
+        node.paused, node.isolated = paused, isolated
 
     @rule(number=NUMBERS)
     def replace_member(self, number):
@@ -177,7 +177,7 @@
     for node in others:
         if node.member.member != successor:
             world.contact(holder, node)
-    holder.cut = True
+    holder.isolated = True
     for hundred_ms in range(80):
         world.advance(100.0)
         for node in others:
@@ -195,9 +195,8 @@
 
 @pytest.mark.parametrize("name", ["tiny", "small", "large"])
 def test_an_isolated_holder_and_its_successor_never_spend_together(name):
-    # A share's holder is replaced and isolated in the same second in which the platform
-    # becomes unreachable. By the replies that it has received it stays eligible for one
-    # more lease. A successor that opens at once would admit a second burst.
+    # A holder is replaced and isolated just as the platform fails. It stays eligible one
+    # more lease; a successor that opens at once would admit a second burst.
     no_lease = replaced_and_isolated(name, Faults(ledger_lease_ms=0.0))
     assert no_lease.excess() > TOLERANCE
     no_majority = replaced_and_isolated(name, Faults(wait_for_majority=False))
--- a/tests/core/test_tickets.py
+++ b/tests/core/test_tickets.py
@@ -363,7 +363,7 @@
         ViewMember(MemberId(name), DomainId("d"), "r", "", "", 0) for name in "abc"
     )
     view = MemberView(ViewNumber(1), members)
-    known = {MemberId("a"): TicketNumber(4), MemberId("b"): TicketNumber(3)}
-    assert not in_force(TicketNumber(3), known, view, [])
-    assert in_force(TicketNumber(3), known, view, [MemberId("c")])
-    assert not in_force(TicketNumber(4), known, view, [MemberId("c")])
+    confirmations = {MemberId("a"): TicketNumber(4), MemberId("b"): TicketNumber(3)}
+    assert not in_force(TicketNumber(3), confirmations, view, [])
+    assert in_force(TicketNumber(3), confirmations, view, [MemberId("c")])
+    assert not in_force(TicketNumber(4), confirmations, view, [MemberId("c")])
