--- a/src/crocusspindle/core/eligibility.py
+++ b/src/crocusspindle/core/eligibility.py
@@ -66,7 +66,7 @@
     view: ViewNumber
     at_ms: float
     applied: TicketNumber
-    lost_platform: bool
+    away: bool
 
 
 @dataclass(slots=True)
@@ -339,7 +339,7 @@
     def _may_shorten(self, old_contact: _Contact, new_contact: _Contact) -> bool:
         return (
             old_contact.view != new_contact.view
-            or old_contact.lost_platform != new_contact.lost_platform
+            or old_contact.away != new_contact.away
             or new_contact.applied > self.applied
         )
 
@@ -396,7 +396,7 @@
         view = self._view
         if view is None or self.member not in self._member_ids:
             return _Deadlines()
-        lost_platform = self.has_lost_platform(now_ms)
+        away = self.has_lost_platform(now_ms)
         counted_contacts = [
             contact
             for contact in self._contacts.values()
@@ -411,22 +411,14 @@
                 now_ms,
             ),
             self._contact_deadline_ms(
-                (
-                    counted.at_ms
-                    for counted in counted_contacts
-                    if counted.lost_platform
-                ),
-                lost_platform,
+                (counted.at_ms for counted in counted_contacts if counted.away),
+                away,
                 needed_count,
                 now_ms,
             ),
             self._contact_deadline_ms(
-                (
-                    counted.at_ms
-                    for counted in counted_contacts
-                    if not counted.lost_platform
-                ),
-                not lost_platform,
+                (counted.at_ms for counted in counted_contacts if not counted.away),
+                not away,
                 needed_count,
                 now_ms,
             ),
--- a/src/crocusspindle/core/lenders.py
+++ b/src/crocusspindle/core/lenders.py
@@ -136,7 +136,7 @@
         state.quoted = max(0.0, state.estimate(peers, now_ms) - amount)
         state.estimated_at_ms = now_ms
 
-    def has_asked_all(self, peers: OtherHolders) -> bool:
+    def has_requested_all(self, peers: OtherHolders) -> bool:
         """Return True if every other holder was sent a loan request at least once."""
         return all(holder in self._lender_states for holder in peers.holders)
 
--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -193,7 +193,7 @@
         """Return how long until a whole token may be available, by lenders' quotes."""
         peers = self._peers(limit)
         lenders = self._lenders_of(limit.customer)
-        if not lenders.has_asked_all(peers):
+        if not lenders.has_requested_all(peers):
             return max(1.0, (1.0 - own_tokens) / peers.rate_per_ms)
         total_tokens = own_tokens + sum(lenders.estimates(peers, now_ms).values())
         rate_per_ms = peers.rate_per_ms * (1 + len(peers.holders))
--- a/tests/core/test_caller_addresses.py
+++ b/tests/core/test_caller_addresses.py
@@ -28,7 +28,7 @@
 
 
 def test_a_node_that_has_just_started_returns_the_members():
-    """A caller calls before the node's first heartbeats are answered: no member yet.
+    """A caller reaches a node that is not a member and has received no echoes yet.
 
     Without any address callers would fail at once while the whole fleet serves.
     """
--- a/tests/core/test_shares_bound.py
+++ b/tests/core/test_shares_bound.py
@@ -195,8 +195,8 @@
 
 @pytest.mark.parametrize("name", ["tiny", "small", "large"])
 def test_an_isolated_holder_and_its_successor_never_spend_together(name):
-    # A holder is replaced and isolated just as the platform fails. It stays eligible one
-    # more lease; a successor that opens at once would admit a second burst.
+    # A holder is replaced and isolated just as the platform fails. It stays eligible
+    # for a lease; a successor that opens at once would admit a second burst.
     no_lease = replaced_and_isolated(name, Faults(ledger_lease_ms=0.0))
     assert no_lease.excess() > TOLERANCE
     no_majority = replaced_and_isolated(name, Faults(wait_for_majority=False))
