--- a/src/crocusspindle/core/bucket.py
+++ b/src/crocusspindle/core/bucket.py
@@ -98,7 +98,7 @@
         """Take tokens; `tokens` must have just returned at least this amount."""
         self._tokens -= amount
 
-    def free(self, now_ms: float) -> float:
+    def free_capacity(self, now_ms: float) -> float:
         """Return how many borrowed tokens fit."""
         return max(0.0, self.room() - self.tokens(now_ms))
 
@@ -185,8 +185,8 @@
             self._at_ms = now_ms
         return sum(borrowed.value for borrowed in self._by_lender.values())
 
-    def margin(self, ahead_ms: float) -> float:
-        """Return the maximum decay over a time."""
+    def max_decay(self, ahead_ms: float) -> float:
+        """Return how many tokens decay at most over a time."""
         return ahead_ms * sum(
             borrowed.decay_per_ms for borrowed in self._by_lender.values()
         )
--- a/src/crocusspindle/core/group_coordinator.py
+++ b/src/crocusspindle/core/group_coordinator.py
@@ -307,7 +307,7 @@
             return decisions
         if end is AttemptEnd.SHED:
             # Not counted as an attempt: shedding is bounded, since it lowers the limit
-            # or pauses the target, and counted it would fail a new group's requests.
+            # or pauses the target, and counting it would fail requests of new groups.
             pending.tried.discard(attempt.slots.target.target)
             pending.attempts -= 1
         elif end is not AttemptEnd.UNSENT:
--- a/src/crocusspindle/core/health.py
+++ b/src/crocusspindle/core/health.py
@@ -126,7 +126,7 @@
             record.evidence.add_unreached(self._settings.opinion_nats)
         return self._evaluate(record, now_ms)
 
-    def probe(
+    def record_probe(
         self, target: TargetId, succeeded: bool, now_ms: float
     ) -> list[HealthChange]:
         """Record the result of a health check, which may lag or be wrong.
--- a/src/crocusspindle/core/lenders.py
+++ b/src/crocusspindle/core/lenders.py
@@ -205,6 +205,6 @@
                 score(own_member.encode(), holder),
             ),
         )
-        need += self.loan_pool.margin(DECAY_MARGIN_MS)
+        need += self.loan_pool.max_decay(DECAY_MARGIN_MS)
         self.deduct_request(ranked[0], need, peers, now_ms)
         return Borrow(tuple(ranked), need, gather=True)
--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -213,7 +213,7 @@
         if limit is None or bucket is None or now_ms > self._eligible_until_ms:
             return None
         lacking = min(missing, 1.0) - bucket.tokens(now_ms)
-        if not 0.0 < lacking <= bucket.free(now_ms):
+        if not 0.0 < lacking <= bucket.free_capacity(now_ms):
             return None
         batch = self._batch(bucket)
         lenders = self._lenders_of(customer)
@@ -310,7 +310,7 @@
         ):
             return None
         lenders.top_up_at_ms = now_ms + TOP_UP_MS
-        amount = min((estimates[lender] - own_tokens) / 2, bucket.free(now_ms))
+        amount = min((estimates[lender] - own_tokens) / 2, bucket.free_capacity(now_ms))
         return Borrow((lender,), amount) if amount > 0.0 else None
 
     def credit_loan(
@@ -337,7 +337,7 @@
             return
         bucket = self._shares.open_bucket(limit, now_ms)
         if bucket is not None:
-            fitting_tokens = min(value, bucket.free(now_ms))
+            fitting_tokens = min(value, bucket.free_capacity(now_ms))
             bucket.put(fitting_tokens, now_ms)
             value -= fitting_tokens
         if value > 0.0:
--- a/tests/core/test_health_floor.py
+++ b/tests/core/test_health_floor.py
@@ -102,14 +102,14 @@
     @rule(
         coordinator=st.integers(0, COORDINATORS - 1),
         number=st.integers(0, 9),
-        seen=st.booleans(),
+        reached=st.booleans(),
     )
-    def observe_elsewhere(self, coordinator: int, number: int, seen: bool) -> None:
+    def observe_elsewhere(self, coordinator: int, number: int, reached: bool) -> None:
         name = self.targets[number % len(self.targets)].target
         group_health = self.coordinators[coordinator]
-        group_health.second_opinion(name, seen, self.now_ms)
-        group_health.probe(name, seen, self.now_ms)
-        group_health.outstanding(name, [60_000.0 * seen] * 2, self.now_ms)
+        group_health.second_opinion(name, reached, self.now_ms)
+        group_health.record_probe(name, reached, self.now_ms)
+        group_health.outstanding(name, [60_000.0 * reached] * 2, self.now_ms)
 
     @rule(step_ms=st.sampled_from([100.0, 1_000.0, 20_000.0]))
     def tick(self, step_ms: float) -> None:
