--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -66,7 +66,7 @@
 MAX_TRACKED_CUSTOMERS: Final = 4_096
 """Customers whose lenders are remembered; evicting one loses no token on loan."""
 
-LISTED_SHARES: Final = 20
+MAX_LISTED_SHARES: Final = 20
 """Shares that the status lists individually, the emptiest first."""
 
 
@@ -136,7 +136,7 @@
         self._shares.expire_shares(now_ms)
 
     def holders(self, customer: Customer) -> tuple[MemberId, ...]:
-        """Return the holders of a customer, which callers are told to use."""
+        """Return the holders of a customer, whose addresses its callers get."""
         return self._shares.holders(customer)
 
     def spend(
@@ -193,7 +193,7 @@
         """Return how long until a whole token may be available, by lenders' quotes."""
         peers = self._peers(limit)
         lenders = self._lenders_of(limit.customer)
-        if not lenders.has_asked_all(peers):
+        if not lenders.has_requested_all(peers):
             return max(1.0, (1.0 - own_tokens) / peers.rate_per_ms)
         total_tokens = own_tokens + sum(lenders.estimates(peers, now_ms).values())
         rate_per_ms = peers.rate_per_ms * (1 + len(peers.holders))
@@ -213,7 +213,7 @@
         if limit is None or bucket is None or now_ms > self._eligible_until_ms:
             return None
         lacking = min(missing, 1.0) - bucket.tokens(now_ms)
-        if not 0.0 < lacking <= bucket.free(now_ms):
+        if not 0.0 < lacking <= bucket.free_capacity(now_ms):
             return None
         batch = self._batch(bucket)
         lenders = self._lenders_of(customer)
@@ -310,7 +310,7 @@
         ):
             return None
         lenders.top_up_at_ms = now_ms + TOP_UP_MS
-        amount = min((estimates[lender] - own_tokens) / 2, bucket.free(now_ms))
+        amount = min((estimates[lender] - own_tokens) / 2, bucket.free_capacity(now_ms))
         return Borrow((lender,), amount) if amount > 0.0 else None
 
     def credit_loan(
@@ -337,7 +337,7 @@
             return
         bucket = self._shares.open_bucket(limit, now_ms)
         if bucket is not None:
-            fitting_tokens = min(value, bucket.free(now_ms))
+            fitting_tokens = min(value, bucket.free_capacity(now_ms))
             bucket.put(fitting_tokens, now_ms)
             value -= fitting_tokens
         if value > 0.0:
@@ -405,5 +405,5 @@
             held=len(shares),
             waiting=sum(share.opens_at_ms > now_ms for share in shares),
             borrowing=len(self._lenders),
-            emptiest=tuple(shares[:LISTED_SHARES]),
+            emptiest=tuple(shares[:MAX_LISTED_SHARES]),
         )
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -97,9 +97,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_long_work_is_not_silence(seed: int) -> None:
-    # Most requests are short look-ups, a few are uploads a hundred times as long. At
-    # times uploads hold all slots of a target, which looks silent, and an ejection
-    # would lose them.
+    # A few requests are uploads, a hundred times as long as the lookups. At times they
+    # hold all slots of a target, which looks silent, and an ejection would lose them.
     def mixed(rng: Random, now_ms: float) -> tuple[Outcome, float]:
         mean_ms = 2_000.0 if rng.random() < 0.015 else 20.0
         return healthy(rng, now_ms)[0], rng.expovariate(1.0 / mean_ms)
@@ -178,7 +177,7 @@
     trial.behaviours[gray] = since(BEGIN_MS, failing(0.3))
     for now_ms in range(0, 40_000, 250):
         trial.run_until(float(now_ms))
-        assert trial.group_health.probe(gray, True, trial.now_ms) == []
+        assert trial.group_health.record_probe(gray, True, trial.now_ms) == []
     health = {row.target: row for row in trial.group_health.snapshot(trial.now_ms)}
     assert health[gray].state in (HealthState.EJECTED, HealthState.PROBATION)
 
@@ -188,5 +187,5 @@
     trial = run_trial(healthy)
     target = trial.targets[0].target
     for step in range(1_000):
-        assert trial.group_health.probe(target, False, trial.now_ms + step) == []
+        assert trial.group_health.record_probe(target, False, trial.now_ms + step) == []
     assert trial.group_health.weight(target, trial.now_ms + 1_000.0) == 1.0
