--- a/src/crocusspindle/cli.py
+++ b/src/crocusspindle/cli.py
@@ -349,7 +349,7 @@
     from crocusspindle import losses  # noqa: PLC0415 - only this command needs it
 
     lines = (line for file in files for line in _read_lines(file))
-    return losses.read(lines).table()
+    return losses.count_losses(lines).table()
 
 
 def _read_lines(file: str) -> Iterator[str]:
--- a/src/crocusspindle/losses.py
+++ b/src/crocusspindle/losses.py
@@ -70,7 +70,7 @@
         }
 
 
-def read(lines: Iterable[str]) -> LossReport:
+def count_losses(lines: Iterable[str]) -> LossReport:
     """Count log lines of any nodes, in any order; skip text that precedes the JSON.
 
     Raise ``InvalidInputError`` if no line describes a request.
--- a/src/crocusspindle/platform/fleet_platform.py
+++ b/src/crocusspindle/platform/fleet_platform.py
@@ -60,7 +60,9 @@
     async def follow(self, table: Table, after: int, wait_ms: float) -> Changes:
         """Return the changes after a version; wait at most ``wait_ms`` for one."""
 
-    async def put(self, key: str, value: bytes, expected: int | None) -> int | None:
+    async def put(
+        self, key: str, value: bytes, expected_version: int | None
+    ) -> int | None:
         """Write a row of the fleet's table; return its version, None on conflict.
 
         ``expected_version`` is the version that the row must have, 0 if it must not
--- a/src/crocusspindle/platform/table_store.py
+++ b/src/crocusspindle/platform/table_store.py
@@ -123,7 +123,9 @@
         _, response = await self._call("GET", "/-/rows-feed", timeout_s, params=params)
         return Changes(_rows(response), int(response["schema_version"]))
 
-    async def put(self, key: str, value: bytes, expected: int | None) -> int | None:
+    async def put(
+        self, key: str, value: bytes, expected_version: int | None
+    ) -> int | None:
         """Write a row of the fleet's table; return its version, None on conflict."""
         row_key = {"table": TABLES[Table.FLEET], "part": "", "key": key}
         body: dict[str, Any] = {
@@ -131,8 +133,8 @@
             "puts": [{**row_key, "value": base64.b64encode(value).decode()}],
             "remove": [],
         }
-        if expected is not None:
-            body["expected"] = [{**row_key, "schema_version": expected}]
+        if expected_version is not None:
+            body["expected"] = [{**row_key, "schema_version": expected_version}]
         status, response = await self._call(
             "POST", "/-/rows-tx", CALL_TIMEOUT_S, body=body
         )
--- a/src/crocusspindle/services/control.py
+++ b/src/crocusspindle/services/control.py
@@ -105,8 +105,8 @@
         change: Callable[[Change], None] | None = None,
         view: Callable[[MemberView], None] | None = None,
         targets: Callable[[], None] | None = None,
-        behind: Callable[[MemberId], None] | None = None,
-        old_targets: Callable[[MemberId], None] | None = None,
+        newer_peer: Callable[[MemberId], None] | None = None,
+        newer_targets: Callable[[MemberId], None] | None = None,
     ) -> None:
         """Register callbacks for applied tickets, new views and new host lists.
 
@@ -119,10 +119,10 @@
             self._on_view.append(view)
         if targets is not None:
             self._on_targets.append(targets)
-        if behind is not None:
-            self._on_newer_peer = behind
-        if old_targets is not None:
-            self._on_newer_targets = old_targets
+        if newer_peer is not None:
+            self._on_newer_peer = newer_peer
+        if newer_targets is not None:
+            self._on_newer_targets = newer_targets
 
     @property
     def view(self) -> MemberView | None:
--- a/src/crocusspindle/services/coordinator.py
+++ b/src/crocusspindle/services/coordinator.py
@@ -106,7 +106,7 @@
             head=head,
             link=link,
             deadline_ms=now_ms() + head.remaining_ms,
-            final=asyncio.get_running_loop().create_future(),
+            final_result=asyncio.get_running_loop().create_future(),
         )
         if not self._control.is_eligible():
             refusal = RequestFailure(Outcome.NOT_RUN, COORDINATOR_UNFIT, now_ms())
@@ -127,19 +127,19 @@
     async def _await_result(
         self, runner: GroupRunner, request: HandedOverRequest
     ) -> None:
-        read_task = asyncio.create_task(request.read())
-        pending: set[asyncio.Future[Any]] = {read_task, request.final}
+        read_task = asyncio.create_task(request.read_frames())
+        pending: set[asyncio.Future[Any]] = {read_task, request.final_result}
         first_completed = asyncio.FIRST_COMPLETED
         try:
             await asyncio.wait(
                 pending, timeout=QUEUED_FRAME_DELAY_S, return_when=first_completed
             )
-            if not request.final.done() and not read_task.done():
+            if not request.final_result.done() and not read_task.done():
                 queued = wire.Queued(load=load_message(runner.load()))
                 await request.link.send(wire.AnswerFrame(queued=queued))
                 await asyncio.wait(pending, return_when=first_completed)
-            if request.final.done():
-                await self._send_final(runner, request, request.final.result())
+            if request.final_result.done():
+                await self._send_final(runner, request, request.final_result.result())
         finally:
             read_task.cancel()
             with suppress(asyncio.CancelledError, *PEER_FAILURES):
@@ -149,14 +149,14 @@
         self,
         runner: GroupRunner,
         request: HandedOverRequest,
-        final: ResponseReceived | RequestFailure,
+        final_result: ResponseReceived | RequestFailure,
     ) -> None:
-        if isinstance(final, RequestFailure):
-            await send_refusal(request, final, now_ms())
+        if isinstance(final_result, RequestFailure):
+            await send_refusal(request, final_result, now_ms())
             return
         transfer = ResponseTransfer.ENTRY_LOST
         try:
-            await send_response(request, final, load_message(runner.load()))
+            await send_response(request, final_result, load_message(runner.load()))
             transfer = ResponseTransfer.COMPLETE
         except aiohttp.ClientError:
             # The stream to the entry ends without its last frame, so that the caller
--- a/src/crocusspindle/services/follower.py
+++ b/src/crocusspindle/services/follower.py
@@ -105,9 +105,9 @@
         self._stopping = False
         self._logger = Logger("follower")
         control.watch(
-            behind=self._start_tail_request,
+            newer_peer=self._start_tail_request,
             view=self._follow_view,
-            old_targets=self._start_targets_request,
+            newer_targets=self._start_targets_request,
         )
 
     async def start(self) -> None:
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -226,11 +226,11 @@
         self._conclude(failed.request, failure)
 
     def _conclude(
-        self, request: RequestId, final: ResponseReceived | RequestFailure
+        self, request: RequestId, final_result: ResponseReceived | RequestFailure
     ) -> None:
         handed_over = self._requests.get(request)
         if handed_over is not None:
-            handed_over.conclude(final)
+            handed_over.conclude(final_result)
 
     def _arm_timer(self) -> None:
         if self._timer is not None:
@@ -311,7 +311,7 @@
             return
         self._execute(self._coordinator.started(dispatch.attempt, now_ms()))
         request = self._requests.get(dispatch.request)
-        if request is None or request.final.done():
+        if request is None or request.final_result.done():
             result.target_response.open_response.close()
             return
         request.conclude(ResponseReceived(result.target_response, None))
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -84,15 +84,15 @@
     status: int
     headers: list[tuple[str, str]]
     outcome: Outcome | None
-    first: bytes
+    body_start: bytes
     complete: bool
     _link: EntryLink
     _request_id: str
 
     async def body_chunks(self) -> AsyncIterator[bytes]:
         """Yield the body; raise ``PeerError`` if the response is truncated."""
-        if self.first:
-            yield self.first
+        if self.body_start:
+            yield self.body_start
         while not self.complete:
             frame = await self._link.receive()
             kind = frame.WhichOneof("frame")
@@ -373,7 +373,7 @@
         status=head.status,
         headers=[(header.name, header.value) for header in head.headers],
         outcome=Outcome(head.outcome) if head.outcome else None,
-        first=head.body,
+        body_start=head.body,
         complete=head.whole,
         _link=link,
         _request_id=call.request,
--- a/src/crocusspindle/services/handed_over_request.py
+++ b/src/crocusspindle/services/handed_over_request.py
@@ -61,7 +61,7 @@
     head: wire.RequestHead
     link: CoordinatorLink
     deadline_ms: float
-    final: asyncio.Future[RequestResult]
+    final_result: asyncio.Future[RequestResult]
     granted: asyncio.Event = field(default_factory=asyncio.Event)
     claimed: bool = False
     withdrawn: bool = False
@@ -84,7 +84,7 @@
         """Return True if the request may have more than one attempt."""
         return self.head.idempotent and (self.head.body_whole or not self.head.has_body)
 
-    async def read(self) -> None:
+    async def read_frames(self) -> None:
         """Process frames until the entry withdraws; raise ``PeerError`` if lost."""
         while True:
             frame = await self.link.receive()
@@ -159,10 +159,10 @@
         if not self._transfer.done():
             self._transfer.set_result(transfer)
 
-    def conclude(self, final: RequestResult) -> None:
+    def conclude(self, final_result: RequestResult) -> None:
         """Set the final result, once."""
-        if not self.final.done():
-            self.final.set_result(final)
+        if not self.final_result.done():
+            self.final_result.set_result(final_result)
 
 
 async def send_response(
--- a/src/crocusspindle/tls.py
+++ b/src/crocusspindle/tls.py
@@ -29,7 +29,7 @@
 
     context: ssl.SSLContext
     settings: TlsSettings
-    loaded: tuple[FileState, ...] = field(default=())
+    loaded_states: tuple[FileState, ...] = field(default=())
 
     @classmethod
     def from_config(cls, settings: TlsSettings, protocol: int) -> "WatchedContext":
@@ -56,11 +56,11 @@
             raise SettingsError(
                 [Finding(certificate_file, "tls", str(error))]
             ) from error
-        self.loaded = states
+        self.loaded_states = states
 
     def changed(self) -> bool:
         """Return True if a file has changed since it was loaded."""
-        return _file_states(_files(self.settings)) != self.loaded
+        return _file_states(_files(self.settings)) != self.loaded_states
 
 
 def server_context(settings: TlsSettings) -> WatchedContext:
--- a/src/crocusspindle_standins/virtual/store.py
+++ b/src/crocusspindle_standins/virtual/store.py
@@ -95,12 +95,16 @@
                 return Changes(rows, self._store.version)
             await self._store.wait_for_change(remaining_s)
 
-    async def put(self, key: str, value: bytes, expected: int | None) -> int | None:
+    async def put(
+        self, key: str, value: bytes, expected_version: int | None
+    ) -> int | None:
         """Write a row of the fleet's table; return its version, None on conflict."""
         await self._call()
         await self._store.admit_write()
         stored = self._store.tables[Table.FLEET].get(key)
-        if expected is not None and expected != (stored.version if stored else 0):
+        if expected_version is not None and expected_version != (
+            stored.version if stored else 0
+        ):
             return None
         return self._store.put(Table.FLEET, key, value)
 
--- a/tests/product/test_losses.py
+++ b/tests/product/test_losses.py
@@ -5,7 +5,7 @@
 from crocusspindle import cli
 from crocusspindle.errors import InvalidInputError
 from crocusspindle.exit_codes import ExitCode
-from crocusspindle.losses import Loss, read
+from crocusspindle.losses import Loss, count_losses
 
 
 def line(second: int, message: str, **fields) -> str:
@@ -27,7 +27,7 @@
         "no JSON",
         '{"message": ',
     ]
-    report = read(lines)
+    report = count_losses(lines)
     assert report.requests_by_route == {"pay": 6}
     assert report.unread_lines == 1
     assert report.losses[0] == (Loss("pay", "unsafe", "504", "target-silent"), 2)
@@ -43,7 +43,7 @@
 
 def test_logs_without_requests_are_an_error():
     with pytest.raises(InvalidInputError, match="no line of a request"):
-        read(["nothing", line(1, "started")])
+        count_losses(["nothing", line(1, "started")])
 
 
 def test_losses_command_reads_files_and_reports_a_missing_one(tmp_path, capsys):
