--- a/src/crocusspindle/gateway/admission.py
+++ b/src/crocusspindle/gateway/admission.py
@@ -110,8 +110,8 @@
         if route.public or not configuration.customers:
             return None
         age_ms = self._fleet_state.configuration.age_ms(now_ms())
-        allowed_ms = self._bounds.now.revocation_ms - CONFIRMATION_MARGIN_MS
-        if self._bounds.now.fail_closed and age_ms > allowed_ms:
+        allowed_ms = self._bounds.current.revocation_ms - CONFIRMATION_MARGIN_MS
+        if self._bounds.current.fail_closed and age_ms > allowed_ms:
             # The key may have been withdrawn without this node learning of it.
             raise Refusal(503, "proof-too-old", 1_000.0, {"proof_age_ms": age_ms})
         rule = configuration.customer_of(request.headers.get(self._dialect.key, ""))
@@ -122,7 +122,7 @@
         raise Refusal(401, "unknown-key")
 
     def _is_stale(self, age_ms: float) -> bool:
-        return age_ms > self._bounds.now.propagation_ms
+        return age_ms > self._bounds.current.propagation_ms
 
     @staticmethod
     def _check_length(configuration: Configuration, request: web.BaseRequest) -> None:
--- a/src/crocusspindle/gateway/exchange.py
+++ b/src/crocusspindle/gateway/exchange.py
@@ -8,7 +8,12 @@
 
 from crocusspindle.errors import PeerError
 from crocusspindle.gateway import instruments
-from crocusspindle.gateway.messages import pack, packed, unpack, unpacked
+from crocusspindle.gateway.messages import (
+    decode_datagram,
+    encode_datagram,
+    pack,
+    unpack,
+)
 from crocusspindle.kernel import Service
 from crocusspindle.metrics import Metrics
 
@@ -84,7 +89,9 @@
 
     def notify(self, to: Address, content: Any) -> None:
         """Send a message once, without a response."""
-        self._send(to, packed([NOTIFICATION, 0, *pack(content)]), type(content))
+        self._send(
+            to, encode_datagram([NOTIFICATION, 0, *pack(content)]), type(content)
+        )
 
     async def request(
         self, to: Address, content: Any, silent_s: float, limit_s: float
@@ -102,7 +109,7 @@
             return await self._request_self(content, limit_s)
         self._last_request += 1
         number = self._last_request
-        data = packed([REQUEST, number, *pack(content)])
+        data = encode_datagram([REQUEST, number, *pack(content)])
         loop = asyncio.get_running_loop()
         pending = _PendingRequest(loop.create_future(), loop.time())
         self._pending[number] = pending
@@ -132,7 +139,7 @@
 
     def _receive(self, data: bytes, sender: Address) -> None:
         try:
-            parts = unpacked(data)
+            parts = decode_datagram(data)
             frame_type, number = parts[0], parts[1]
             if frame_type == BUSY:
                 self._receive_busy(number)
@@ -177,7 +184,7 @@
         sender, number = key
         now = asyncio.get_running_loop().time()
         if sent_response is None or sent_response.may_be_in_flight(now):
-            self._send(sender, packed([BUSY, number]), None)
+            self._send(sender, encode_datagram([BUSY, number]), None)
             return
         sent_response.sent_at = now
         self._send(sender, sent_response.data, sent_response.kind)
@@ -188,7 +195,7 @@
         if response is None:
             self._responses.pop(key, None)
             return
-        data = packed([RESPONSE, number, *pack(response)])
+        data = encode_datagram([RESPONSE, number, *pack(response)])
         now = asyncio.get_running_loop().time()
         self._responses[key] = _SentResponse(data, type(response), now)
         self._send(sender, data, type(response))
--- a/src/crocusspindle/gateway/messages.py
+++ b/src/crocusspindle/gateway/messages.py
@@ -52,13 +52,13 @@
         raise PeerError(f"message cannot be decoded: {error!r}") from error
 
 
-def packed(parts: list[Any]) -> bytes:
+def encode_datagram(parts: list[Any]) -> bytes:
     """Encode a datagram."""
     data: bytes = msgpack.packb(parts)
     return data
 
 
-def unpacked(data: bytes) -> Any:
+def decode_datagram(data: bytes) -> Any:
     """Decode a datagram; raise ``PeerError`` if it is malformed."""
     try:
         return msgpack.unpackb(data)
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -106,7 +106,7 @@
         placer = self._placers.get(service)
         if placer is None:
             budget = self._retry_sharing.budget(service)
-            floor_share = self._bounds.now.floor_share
+            floor_share = self._bounds.current.floor_share
             placer = ServicePlacer(
                 floor_share,
                 budget,
--- a/src/crocusspindle/gateway/ports.py
+++ b/src/crocusspindle/gateway/ports.py
@@ -100,7 +100,7 @@
             and self._fleet_state.configuration.content is not None
             and self._fleet_state.targets.content is not None
             and self._fleet_state.view.content is not None
-            and age_ms < self._bounds.now.revocation_ms - READY_MARGIN_MS
+            and age_ms < self._bounds.current.revocation_ms - READY_MARGIN_MS
         )
 
     async def _ready(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -115,7 +115,7 @@
         addresses = self._addresses(domain)
         if not addresses:
             return web.Response(status=503)
-        valid_s = min(WHERE_VALID_S, self._bounds.now.where_valid_ms / 1e3)
+        valid_s = min(WHERE_VALID_S, self._bounds.current.where_valid_ms / 1e3)
         body = self._dialect.where_response(addresses, valid_s)
         return web.Response(body=body, content_type="application/json")
 
@@ -137,7 +137,7 @@
     async def drain(self) -> None:
         """Leave the fleet; give running requests up to `GIVE_UP_FRACTION` to end."""
         began_ms = now_ms()
-        grace_ms = self._bounds.now.grace_ms
+        grace_ms = self._bounds.current.grace_ms
         self._membership.leave()
         self._entry.leaving = True
         await asyncio.sleep(grace_ms * ACCEPTING_FRACTION / 1e3)
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -63,11 +63,13 @@
         self._keeper = QuotaKeeper(
             node.host,
             node.incarnation,
-            bounds.now.view_fence_ms,
-            bounds.now.quota_window_ms,
+            bounds.current.view_fence_ms,
+            bounds.current.quota_window_ms,
             began_ms,
         )
-        self._reserve = QuotaReserve(node.host, bounds.now.quota_window_ms, now_ms())
+        self._reserve = QuotaReserve(
+            node.host, bounds.current.quota_window_ms, now_ms()
+        )
         self._configuration_version = -1
         self._collecting: dict[CustomerId, asyncio.Task[None]] = {}
         self._keepers: dict[CustomerId, HostId] = {}
@@ -187,7 +189,7 @@
         return self._spend_reserve(rule)
 
     def _spend_reserve(self, rule: CustomerRule) -> Admitted | NotKept:
-        bounds = self._bounds.now
+        bounds = self._bounds.current
         window_s = bounds.quota_window_ms / 1e3
         slack = (
             rule.rate_per_s * window_s + rule.burst
--- a/src/crocusspindle/gateway/reload.py
+++ b/src/crocusspindle/gateway/reload.py
@@ -19,7 +19,7 @@
     """Hold the bounds in force."""
 
     def __init__(self, bounds: Bounds) -> None:
-        self.now = bounds
+        self.current = bounds
 
 
 class Reload(Service):
@@ -81,5 +81,5 @@
             if getattr(settings, name) != getattr(self._settings, name)
         ]
         self._settings = settings
-        self._bounds.now = settings.bounds
+        self._bounds.current = settings.bounds
         log_state_change(self._log, "settings read again", changed=changed)
--- a/src/crocusspindle/gateway/responses.py
+++ b/src/crocusspindle/gateway/responses.py
@@ -51,7 +51,7 @@
     request: web.BaseRequest, target_response: TargetResponse, deadline_ms: float
 ) -> web.StreamResponse:
     """Forward a target's response; abort the connection if it is truncated."""
-    if target_response.rest is None:
+    if target_response.open_response is None:
         response = web.Response(
             status=target_response.status, body=target_response.body
         )
@@ -63,7 +63,7 @@
         await stream.prepare(request)
         await stream.write(target_response.body)
         async with asyncio.timeout(max(0.0, (deadline_ms - now_ms()) / 1e3)):
-            while chunk := await target_response.rest.content.read(READ_BYTES):
+            while chunk := await target_response.open_response.content.read(READ_BYTES):
                 await stream.write(chunk)
         await stream.write_eof()
     except BaseException:
@@ -72,14 +72,14 @@
             request.transport.abort()
         raise
     finally:
-        target_response.rest.close()
+        target_response.open_response.close()
     return stream
 
 
 def _copy_headers(
     target_response: TargetResponse, response: web.StreamResponse
 ) -> None:
-    complete = target_response.rest is None
+    complete = target_response.open_response is None
     response.headers.popall("Content-Type", None)
     for name, text in target_response.headers:
         if complete and name.lower() == "content-length":
--- a/src/crocusspindle/gateway/retry_sharing.py
+++ b/src/crocusspindle/gateway/retry_sharing.py
@@ -36,7 +36,7 @@
         """Return the retry budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
-            bounds = self._bounds.now
+            bounds = self._bounds.current
             budget = RetryBudget(
                 bounds.budget_ratio, bounds.budget_extra, bounds.budget_window_ms
             )
--- a/src/crocusspindle/gateway/target_client.py
+++ b/src/crocusspindle/gateway/target_client.py
@@ -57,7 +57,7 @@
     status: int
     headers: list[tuple[str, str]]
     body: bytes
-    rest: aiohttp.ClientResponse | None = None
+    open_response: aiohttp.ClientResponse | None = None
 
 
 @dataclass(slots=True)
@@ -203,7 +203,7 @@
             response.status, forwarded(response.headers), body
         )
         if not complete:
-            target_response.rest = response
+            target_response.open_response = response
         failed = response.status >= SERVER_ERROR
         return AttemptResult(
             AttemptOutcome.ERROR if failed else AttemptOutcome.ANSWERED,
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -12,10 +12,10 @@
     NotMineAnswer,
     SpendAnswer,
     SpendAsk,
+    decode_datagram,
+    encode_datagram,
     pack,
-    packed,
     unpack,
-    unpacked,
 )
 from crocusspindle.metrics import Metrics
 from crocusspindle_standins.processes import free_ports
@@ -122,7 +122,13 @@
 async def test_malformed_datagrams_are_ignored(pair):
     """Other software sends to the port; the node must not stop over it."""
     client, server = pair
-    for data in (b"", b"\xc1", packed([9]), packed([0, 1, 99]), packed([0, 1, 9])):
+    for data in (
+        b"",
+        b"\xc1",
+        encode_datagram([9]),
+        encode_datagram([0, 1, 99]),
+        encode_datagram([0, 1, 9]),
+    ):
         client._send(address(server), data, None)
 
     async def spend(message, sender):
@@ -135,7 +141,7 @@
 
 def test_messages_survive_packing():
     for content in (Done(), SpendAsk("club", 1.5)):
-        assert unpack(unpacked(packed(pack(content)))) == content
+        assert unpack(decode_datagram(encode_datagram(pack(content)))) == content
 
 
 async def test_large_response_is_not_sent_again_while_it_may_be_in_flight(pair):
--- a/tests/gateway/test_fleet_state.py
+++ b/tests/gateway/test_fleet_state.py
@@ -6,7 +6,13 @@
 from crocusspindle.core.listed_target import ListedTarget, Readiness, TargetIdentity
 from crocusspindle.core.view import NodeAddress, View, ViewEntry
 from crocusspindle.gateway.fleet_state import FleetState, HeldKeys
-from crocusspindle.gateway.messages import State, pack, packed, unpack, unpacked
+from crocusspindle.gateway.messages import (
+    State,
+    decode_datagram,
+    encode_datagram,
+    pack,
+    unpack,
+)
 from crocusspindle.ids import DomainId, HostId, Incarnation, ServiceId
 from crocusspindle.platform.documents import parse_configuration
 
@@ -36,7 +42,7 @@
 
 def decoded_copy(state: State) -> State:
     """Return a state as it arrives at the other node."""
-    arrived = unpack(unpacked(packed(pack(state))))
+    arrived = unpack(decode_datagram(encode_datagram(pack(state))))
     assert isinstance(arrived, State)
     return arrived
 
@@ -74,7 +80,7 @@
     reader.update_view(View(4, tuple(view_entry(n) for n in range(4))), now_ms())
     change = state_for(reader, new_node)
     assert change.targets is None
-    assert len(packed(pack(change))) < len(packed(pack(full))) / 2
+    assert len(encode_datagram(pack(change))) < len(encode_datagram(pack(full))) / 2
     assert new_node.apply_state(change, now_ms())
     assert new_node.view.content == reader.view.content
 
