--- a/benchmarks/health_trial.py
+++ b/benchmarks/health_trial.py
@@ -121,7 +121,9 @@
         self.record(self.group_health.tick(now_ms), now_ms)
         for target, start_times in running.items():
             ages_ms = [now_ms - at_ms for at_ms in start_times.values()]
-            self.record(self.group_health.outstanding(target, ages_ms, now_ms), now_ms)
+            self.record(
+                self.group_health.record_outstanding(target, ages_ms, now_ms), now_ms
+            )
 
 
 class FiveErrors(Watcher):
@@ -251,7 +253,9 @@
         self._record(self.group_health.tick(self.now_ms))
         for target, start_times in self._running.items():
             ages_ms = [self.now_ms - at_ms for at_ms in start_times.values()]
-            self._record(self.group_health.outstanding(target, ages_ms, self.now_ms))
+            self._record(
+                self.group_health.record_outstanding(target, ages_ms, self.now_ms)
+            )
         for watcher in self.watchers.values():
             watcher.tick(self._running, self.now_ms)
         # Requests leave the queue at their deadline.
@@ -290,7 +294,7 @@
         attempt = self._sequence
         self._running[target][attempt] = self.now_ms
         if self.group_health.wants_trial(target, self.now_ms):
-            self.group_health.trial_sent(target, self.now_ms)
+            self.group_health.record_trial_sent(target, self.now_ms)
 
         def end() -> None:
             del self._running[target][attempt]
--- a/src/crocusspindle/core/health.py
+++ b/src/crocusspindle/core/health.py
@@ -94,7 +94,7 @@
         record.evidence.observe(sample, hazard, self._reference, now_ms)
         return self._evaluate(record, now_ms)
 
-    def outstanding(
+    def record_outstanding(
         self, target: TargetId, ages_ms: Sequence[float], now_ms: float
     ) -> list[HealthChange]:
         """Record the ages of all requests outstanding at a target.
@@ -142,7 +142,7 @@
             record.until_ms = min(record.until_ms, now_ms)
         return []
 
-    def trial_sent(self, target: TargetId, now_ms: float) -> None:
+    def record_trial_sent(self, target: TargetId, now_ms: float) -> None:
         """Record that a target on probation was sent a trial."""
         record = self._records.get(target)
         if record is not None:
--- a/src/crocusspindle/core/operation_holders.py
+++ b/src/crocusspindle/core/operation_holders.py
@@ -153,7 +153,7 @@
         known = self._member_lists.get(view) if members is None else members
         self._outages[view] = None if known is None else frozenset(known)
 
-    def note_outage_flushed(self, view: ViewNumber, member: MemberId) -> None:
+    def record_outage_flush(self, view: ViewNumber, member: MemberId) -> None:
         """Record that a member wrote its records of an outage to the table."""
         self._flushed.setdefault(view, set()).add(member)
 
--- a/src/crocusspindle/core/operations.py
+++ b/src/crocusspindle/core/operations.py
@@ -79,7 +79,7 @@
         """Adopt a later view; return False for an older one."""
         return self.holder_history.adopt(view, now_ms)
 
-    def note_outages(self, views: Iterable[ViewNumber]) -> None:
+    def record_outages(self, views: Iterable[ViewNumber]) -> None:
         """Record the views under which members acted without the platform."""
         for view in views:
             self.holder_history.record_outage(view)
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -195,7 +195,7 @@
     def _dispatch(self, dispatch: Dispatch) -> None:
         now = now_ms()
         if self._health.weight(dispatch.target, now) <= PROBATION_WEIGHT:
-            self._health.trial_sent(dispatch.target, now)
+            self._health.record_trial_sent(dispatch.target, now)
         task = asyncio.create_task(self._attempt(dispatch))
         self._attempts[dispatch.attempt] = task
 
@@ -366,7 +366,7 @@
                 del self._outstanding[target]
                 continue
             ages_ms = [now - at_ms for at_ms in sent.values()]
-            self._report(self._health.outstanding(target, ages_ms, now))
+            self._report(self._health.record_outstanding(target, ages_ms, now))
 
     async def _watch_health(self) -> None:
         while True:
--- a/src/crocusspindle/services/ledger.py
+++ b/src/crocusspindle/services/ledger.py
@@ -193,7 +193,7 @@
         node_eligibility, now = self._control.node_eligibility, now_ms()
         # Before each decision: the echo that granted authority by table may also have
         # reported an outage whose records are not in the table yet.
-        self._ledger.note_outages(node_eligibility.outage_views(now))
+        self._ledger.record_outages(node_eligibility.outage_views(now))
         table_until_ms = node_eligibility.table_until_ms(now)
         if now < table_until_ms:
             return DecisionAuthority(LedgerMode.TABLE, table_until_ms)
@@ -270,7 +270,7 @@
             rounds += 1
             if rounds % EXPIRE_EVERY_ROUNDS == 0:
                 await self._expire()
-            self._ledger.note_outages(
+            self._ledger.record_outages(
                 self._control.node_eligibility.outage_views(now_ms())
             )
             if now_ms() < self._control.node_eligibility.fresh_until_ms():
@@ -363,7 +363,7 @@
         for row in rows:
             if row.key.startswith(prefix):
                 member = MemberId(row.key.removeprefix(prefix))
-                self._ledger.holder_history.note_outage_flushed(number, member)
+                self._ledger.holder_history.record_outage_flush(number, member)
 
 
 def attempt_message(attempt: Attempt) -> wire.Attempt:
--- a/tests/core/ledger_simulation.py
+++ b/tests/core/ledger_simulation.py
@@ -60,7 +60,7 @@
 
     def authority(self, node: Node, prefer_peer: bool) -> DecisionAuthority:
         now_ms = self.fleet.now(node)
-        node.ledger.note_outages(node.eligibility.outage_views(now_ms))
+        node.ledger.record_outages(node.eligibility.outage_views(now_ms))
         peer = DecisionAuthority(
             LedgerMode.PEER, node.eligibility.peer_until_ms(now_ms)
         )
@@ -243,4 +243,4 @@
     def publish_flush_marks(self) -> None:
         for node in self.fleet.awake():
             for view, member in self.marks:
-                node.ledger.holder_history.note_outage_flushed(view, member)
+                node.ledger.holder_history.record_outage_flush(view, member)
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -114,7 +114,9 @@
     target = trial.targets[0].target
     for step in range(100):
         now_ms = trial.now_ms + 100.0 * step
-        assert trial.group_health.outstanding(target, [100.0 * step], now_ms) == []
+        assert (
+            trial.group_health.record_outstanding(target, [100.0 * step], now_ms) == []
+        )
         assert (
             trial.group_health.observe(Sample(target, Outcome.OK, 40.0), now_ms) == []
         )
@@ -132,7 +134,7 @@
         return rows[target].evidence_nats
 
     before_nats = evidence_nats(now_ms)
-    trial.group_health.outstanding(target, [200.0, 220.0], now_ms)
+    trial.group_health.record_outstanding(target, [200.0, 220.0], now_ms)
     assert evidence_nats(now_ms) > before_nats + 2.0
     assert evidence_nats(now_ms + 1_000.0) == before_nats
 
