--- a/src/crocusspindle/core/assignment_history.py
+++ b/src/crocusspindle/core/assignment_history.py
@@ -103,8 +103,8 @@
         rank = _rank_of(own, before.view, role)
         if not rank.first:
             return False
-        # The previous holder may have acted for longer, without that view. A running
-        # member is asked; what a process that ended did is unknown.
+        # The previous holder may have acted until it received that view. While it runs,
+        # its release is requested; what a process that has ended did is unknown.
         previous_holder = rank.previous_holder
         return previous_holder is None or previous_holder in first.view.entries
 
@@ -123,9 +123,9 @@
 
 def _rank_of(own: ViewEntry, view: View, role: str) -> AssignmentRank:
     fenced = {entry.key for entry in view.fenced}
-    everyone = (*view.entries, *view.fenced)
-    entry_by_host = {entry.node.host: entry for entry in everyone}
-    ranked = View(view.number, everyone).ranked(role)
+    all_entries = (*view.entries, *view.fenced)
+    entry_by_host = {entry.node.host: entry for entry in all_entries}
+    ranked = View(view.number, all_entries).ranked(role)
     position = ranked.index(own.node.host)
     higher = [entry_by_host[host] for host in ranked[:position]]
     # Members ranked lower had the role only if they joined before this member.
--- a/src/crocusspindle/core/byte_rate_limiter.py
+++ b/src/crocusspindle/core/byte_rate_limiter.py
@@ -8,11 +8,12 @@
 
 
 class ByteRateLimiter:
-    """Allow bytes at a rate.
+    """Allow a node to send bytes up to a rate.
 
     Made for a whole fleet that requests whole lists from one node at the same moment.
     Guards against a queue of seconds on that node's link, behind which its heartbeats
-    arrive too late, so that every node takes it for gone and asks the next one.
+    arrive too late, so that every node considers it lost and requests the lists
+    from the next one.
     """
 
     def __init__(self, bytes_per_ms: float) -> None:
--- a/src/crocusspindle/core/configuration.py
+++ b/src/crocusspindle/core/configuration.py
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """Hold one version: routes by host and prefix, customers by key digest."""
+    """Hold one version of the routes, customers, API keys and callers' limits."""
 
     version: int
     routes: Mapping[str, Mapping[str, RouteRule]]
@@ -85,9 +85,9 @@
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            found = prefixes.get(path[: end + 1])
-            if found is not None:
-                return found
+            rule = prefixes.get(path[: end + 1])
+            if rule is not None:
+                return rule
         return None
 
     def customer_of(self, key: str) -> CustomerRule | None:
--- a/src/crocusspindle/core/crash_record.py
+++ b/src/crocusspindle/core/crash_record.py
@@ -69,12 +69,12 @@
 
 
 def _union(crashes: Iterable[Crash]) -> frozenset[Crash]:
-    found: list[Crash] = []
+    distinct: list[Crash] = []
     for crash in sorted(crashes, key=lambda crash: (crash.target, crash.at_ms)):
-        if found and found[-1].is_same(crash):
-            # A report that saw other requests there proves that this one was not alone.
-            alone = found[-1].alone and crash.alone
-            found[-1] = replace(found[-1], alone=alone)
+        if distinct and distinct[-1].is_same(crash):
+            # A report with other requests there shows that this one did not run alone.
+            alone = distinct[-1].alone and crash.alone
+            distinct[-1] = replace(distinct[-1], alone=alone)
         else:
-            found.append(crash)
-    return frozenset(found)
+            distinct.append(crash)
+    return frozenset(distinct)
--- a/src/crocusspindle/core/crash_table.py
+++ b/src/crocusspindle/core/crash_table.py
@@ -147,6 +147,7 @@
         return FIRST_HOLD_MS * HOLD_FACTOR**record.trials
 
     def _unexplained(self, content: ContentDigest) -> frozenset[Crash]:
+        """Return a request's crashes that no other held request explains."""
         record = self._records.get(content)
         if record is None or not record.crashes:
             return frozenset()
--- a/src/crocusspindle/core/crash_watch.py
+++ b/src/crocusspindle/core/crash_watch.py
@@ -46,16 +46,16 @@
             if content in self._table:
                 self._answered.append(content)
         elif outcome is AttemptOutcome.CRASHED:
-            self._note_crash(target, {content, *running}, now_ms)
+            self._record_crash(target, {content, *running}, now_ms)
         elif outcome is AttemptOutcome.BROKEN:
             self._broken.setdefault(target, {})[content] = now_ms
         elif outcome in (AttemptOutcome.CLOSED, AttemptOutcome.MISDIRECTED):
             broken_ms = self._broken.pop(target, {})
             since_ms = now_ms - MAX_DETECTION_DELAY_MS
             recent = {c for c, at in broken_ms.items() if at > since_ms}
-            self._note_crash(target, recent, now_ms)
+            self._record_crash(target, recent, now_ms)
 
-    def _note_crash(
+    def _record_crash(
         self, target: TargetIdentity, contents: set[ContentDigest], now_ms: float
     ) -> None:
         # The attempts at a crashed target end one by one. Counted one by one, the last
--- a/src/crocusspindle/core/floor_watch.py
+++ b/src/crocusspindle/core/floor_watch.py
@@ -2,7 +2,8 @@
 
 Made for a service many of whose targets were ejected within seconds. Some of them are
 healthy again, or were never gray, and the rest would carry all the work: callers would
-be refused while healthy targets idle.
+be refused while healthy targets idle. The floor is the share of the healthy targets
+that must get work.
 """
 
 import math
@@ -21,8 +22,8 @@
 
 BUSY_SLOT_SHARE: Final = 0.8
 UNSERVED_SHARE: Final = 0.05
-"""Half of the tenth from which on a service must keep its floor of targets: other
-requests of it are refused before they reach the placer."""
+"""A service must keep its floor once a tenth of its requests go unserved. This is half
+of that, as some requests are refused before they reach the placer."""
 
 MIN_OUTCOMES: Final = 10
 WINDOW_MS: Final = 2_000.0
@@ -45,12 +46,12 @@
 healthy again: earlier, most floor requests would go to targets that stay faulty."""
 
 LONG_HEALTHY_MS: Final = 6_000.0
-"""A target without a failure for this long is healthy as far as can be told: a failure
-after a return counts as a relapse up to the same time."""
+"""A target without a failure for this long counts as reliably healthy: a failure after
+a passed trial counts as a relapse up to the same time."""
 
 BUSY_OUTCOMES: Final = 1.5
 """Outcomes per target and window from which a service keeps its floor even while its
-requests are served: when a fault begins, no targets were left unused before."""
+requests are served, so that no targets are unused when a fault begins."""
 
 
 DUE_CHECK_MS: Final = 20.0
@@ -78,7 +79,7 @@
     def may_eject(self, trackers: Collection[TargetTracker]) -> bool:
         """Return True if suspicion may eject one more target.
 
-        While slots are short, targets on trial count as ejected: they take one request
+        While slots are short, targets on trial count as ejected: they run one request
         at a time, and a service with most targets on trial would refuse its callers
         while slots idle. With slots to spare, a suspect target fails requests, and its
         ejection fails none.
--- a/src/crocusspindle/core/gray_onset_rate.py
+++ b/src/crocusspindle/core/gray_onset_rate.py
@@ -3,10 +3,10 @@
 import math
 from typing import Final
 
-MEMORY_MS: Final = 60_000.0
-"""Decay time: some gray failures of each target of a small service, and short enough to
-notice an hour of faults. The estimates serve as rates, where a factor of two matters
-little."""
+DECAY_MS: Final = 60_000.0
+"""Time constant: long enough for several gray failures of each target of a small
+service, and short enough to notice an hour of faults. The estimates serve as rates,
+where a factor of two matters little."""
 
 PRIOR_ONSET_INTERVAL_MS: Final = 100_000.0
 """Prior interval between a target's onsets of gray failure: a service begins with one
@@ -30,7 +30,7 @@
         passed_ms = now_ms - self._updated_ms
         if passed_ms <= 0.0:
             return
-        decay = math.exp(-passed_ms / MEMORY_MS)
+        decay = math.exp(-passed_ms / DECAY_MS)
         prior_gray_ms = PRIOR_ONSET_INTERVAL_MS * PRIOR_GRAY_SHARE
         prior_healthy_ms = PRIOR_ONSET_INTERVAL_MS - prior_gray_ms
         self._onsets = 1.0 + (self._onsets - 1.0) * decay
@@ -50,10 +50,10 @@
         return self._gray_ms / self._onsets
 
     def probability(self, success_age_ms: float) -> float:
-        """Return the probability that a target is gray so long after its last success.
+        """Return the probability that a target is gray, by the age of its last success.
 
         It grows with the onset rate at first, and converges to the share of time for
-        which targets are gray at all: an old success says no more than none.
+        which targets are gray at all: an old success is no more evidence than none.
         """
         gray_share = self._gray_ms / (self._gray_ms + self._healthy_ms)
         onsets = max(0.0, success_age_ms) * self._onsets / self._healthy_ms
--- a/src/crocusspindle/core/latency_sample.py
+++ b/src/crocusspindle/core/latency_sample.py
@@ -1,4 +1,4 @@
-"""Hold recent latencies of one kind of work, and tell how unusual a longer one is."""
+"""Hold recent latencies of one kind of work, and rate how unusual a longer one is."""
 
 import bisect
 import math
@@ -43,7 +43,7 @@
         return len(self._by_time) >= MIN_SAMPLES
 
     def quantile_ms(self, fraction: float) -> float:
-        """Return the latency that a fraction of the samples stays below, if any."""
+        """Return a quantile of the samples, of which there must be at least one."""
         return self._sorted[
             min(len(self._sorted) - 1, int(fraction * len(self._sorted)))
         ]
--- a/src/crocusspindle/core/placement_queue.py
+++ b/src/crocusspindle/core/placement_queue.py
@@ -1,7 +1,7 @@
 """Decide which requests wait for a slot of a service, start next or are refused.
 
 Made for a service that is full for some seconds. Requests that can meet their latency
-objective go first, by priority and then by age. Late ones take slots that would idle: a
+objective go first, by priority and then by age. Late ones use slots that would idle: a
 late answer is worth more to its caller than none. A request that would not be served
 before its deadline is refused at once, with the time to retry after.
 """
--- a/src/crocusspindle/core/policies.py
+++ b/src/crocusspindle/core/policies.py
@@ -1,7 +1,7 @@
-"""Name the mechanisms of placing, so that each can be switched off for a trial.
+"""Name the mechanisms of placing, so that each can be switched off in a test.
 
-The value of a mechanism shows only against a fleet that lacks it. In service all are
-on; a trial names those that are off when it starts the node.
+The effect of a mechanism shows only in comparison with a fleet that lacks it. In
+production all are on; a test names those that are off when it starts a node.
 """
 
 from collections.abc import Iterable
@@ -38,7 +38,7 @@
 
     @classmethod
     def from_names(cls, text: str) -> "Policies":
-        """Return all but those named in a text, separated by commas."""
+        """Return all policies but those named in a text, separated by commas."""
         return cls.without(name.strip() for name in text.split(",") if name.strip())
 
     @classmethod
--- a/src/crocusspindle/core/quota_keeper.py
+++ b/src/crocusspindle/core/quota_keeper.py
@@ -250,8 +250,8 @@
 
     def _freeze(self, account: _Account, customer: CustomerId, now_ms: float) -> None:
         rule = self._rules.get(customer)
-        left = 0.0 if rule is None else account.bucket.tokens(rule, now_ms)
-        account.tokens = max(0.0, left)
+        remaining = 0.0 if rule is None else account.bucket.tokens(rule, now_ms)
+        account.tokens = max(0.0, remaining)
 
     def record_release(
         self, customer: CustomerId, by: ViewEntryKey, tokens: float, now_ms: float
--- a/src/crocusspindle/core/quota_reserve.py
+++ b/src/crocusspindle/core/quota_reserve.py
@@ -1,4 +1,4 @@
-"""Serve a customer that has no keeper out of the slack of its quota."""
+"""Serve a customer that has no keeper from the slack of its quota."""
 
 from crocusspindle.core.view import View
 from crocusspindle.ids import CustomerId, HostId
--- a/src/crocusspindle/core/rate_limit.py
+++ b/src/crocusspindle/core/rate_limit.py
@@ -40,9 +40,9 @@
         self._per_ms = math.inf
         self._request_sent_ms = -math.inf
         self._response_ms = -math.inf
-        self._without_limit = 0
+        self._responses_without_limit = 0
         self._tokens = 0.0
-        self._at_ms = -math.inf
+        self._filled_at_ms = -math.inf
 
     @property
     def is_active(self) -> bool:
@@ -68,14 +68,14 @@
         per_ms = max(MIN_PER_S, report.limit_per_s) / 1e3
         self._request_sent_ms = report.sent_ms
         self._response_ms = now_ms
-        self._without_limit = 0
+        self._responses_without_limit = 0
         if per_ms == self._per_ms:
             return False
         if self.is_active:
             self._fill(now_ms)
         else:
             # Other hosts may have sent requests just before: begin without tokens.
-            self._tokens, self._at_ms = 0.0, now_ms
+            self._tokens, self._filled_at_ms = 0.0, now_ms
         self._per_ms = per_ms
         self._tokens = min(self._tokens, self._burst)
         return True
@@ -83,8 +83,8 @@
     def _apply_missing_limit(self, report: LimitReport) -> bool:
         if not self.is_active or report.sent_ms <= self._response_ms:
             return False
-        self._without_limit += 1
-        if self._without_limit < RESPONSES_WITHOUT_LIMIT:
+        self._responses_without_limit += 1
+        if self._responses_without_limit < RESPONSES_WITHOUT_LIMIT:
             return False
         self._per_ms = math.inf
         return True
@@ -111,6 +111,6 @@
         return max(1.0, self._per_ms * 1e3 * BURST_S)
 
     def _fill(self, now_ms: float) -> None:
-        earned = max(0.0, now_ms - self._at_ms) * self._per_ms
+        earned = max(0.0, now_ms - self._filled_at_ms) * self._per_ms
         self._tokens = min(self._burst, self._tokens + earned)
-        self._at_ms = max(self._at_ms, now_ms)
+        self._filled_at_ms = max(self._filled_at_ms, now_ms)
--- a/src/crocusspindle/core/retry_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -65,7 +65,7 @@
             self._since_ms = since_ms
 
     def set_rank(self, rank: int, now_ms: float) -> None:
-        """Set this placer's rank; on a higher one, earlier retries may be unknown."""
+        """Set this placer's rank; once it rises, earlier retries may be unknown."""
         if rank < self._rank and now_ms - self._received_ms > KNOWN_PREDECESSOR_MS:
             self._since_ms = now_ms
         self._rank = rank
@@ -120,12 +120,12 @@
         for times in (self._requests, self._retries):
             while times and times[0] <= since_ms:
                 times.popleft()
-        gone = [
+        expired = [
             origin
             for origin, record in self._others.items()
             if record.newest_ms <= since_ms
         ]
-        for origin in gone:
+        for origin in expired:
             del self._others[origin]
 
     def give_back(self) -> None:
@@ -160,7 +160,7 @@
         known_ms: float,
         now_ms: float,
     ) -> None:
-        """Merge another placer's records; it knew all placements for ``known_ms``."""
+        """Merge another placer's records, complete for the last ``known_ms``."""
         for record in records:
             known = self._others.get(record.origin)
             if record.origin != own and (known is None or known.number < record.number):
--- a/src/crocusspindle/core/service_load.py
+++ b/src/crocusspindle/core/service_load.py
@@ -8,7 +8,7 @@
 end as soon."""
 
 MIN_OBSERVED_MS: Final = 200.0
-"""Shortest observed time: below it a few requests would pass for a high rate."""
+"""Shortest observed time: in less, a few requests would look like a high rate."""
 
 SAMPLE_WEIGHT: Final = 0.05
 """Weight of the newest answer in the mean latency: the last twenty or so count."""
--- a/src/crocusspindle/core/service_placer.py
+++ b/src/crocusspindle/core/service_placer.py
@@ -55,7 +55,7 @@
 
 
 class ServicePlacer:
-    """Decide where each request of one service goes."""
+    """Grant targets to the requests of one service, queue them or refuse them."""
 
     def __init__(
         self,
@@ -240,8 +240,8 @@
         return PlacementRefused("no-target", max(RETRY_MIN_MS, first_end_ms - now_ms))
 
     def _refresh_if_due(self, now_ms: float) -> None:
-        # Checking every target at each placement request and each outcome would take
-        # the placer's processor from its callers where there are hundreds of targets.
+        # With hundreds of targets, checking each of them at every placement request and
+        # outcome would leave the placer too little CPU time for its callers.
         if now_ms - self._refreshed_ms >= REFRESH_MS:
             self._refresh(now_ms)
 
@@ -265,8 +265,8 @@
             )
 
     def _eject_hung(self, tracker: TargetTracker, now_ms: float) -> None:
-        # A target that accepts work and never answers reports no outcome to judge. Its
-        # callers would find out one by one when their deadlines pass.
+        # A target that accepts work and never answers reports no outcome to evaluate.
+        # Its callers would notice one by one when their deadlines pass.
         if tracker.ejection_state is EjectionState.EJECTED or not tracker.grants:
             return
         if tracker.failure_nats + tracker.suspicion_nats(now_ms) < HUNG_NATS:
@@ -414,7 +414,7 @@
                 waiting.settled = PlacementRefused("held", hold_ms)
                 continue
             # Few requests queued at a full service find a free slot. Checking every
-            # target for each would take the placer's processor just when it is short.
+            # target for each would use up the placer's CPU time when it is scarce.
             if free and self._queue.may_start(waiting, slots, now_ms):
                 waiting.settled = self._place(waiting.request, now_ms)
                 free = waiting.settled is None or self._any_free(now_ms)
--- a/src/crocusspindle/core/target_choice.py
+++ b/src/crocusspindle/core/target_choice.py
@@ -23,7 +23,8 @@
 from crocusspindle.ids import ContentDigest, HostId
 
 NON_IDEMPOTENT_TRIAL_AFTER_MS: Final = 1_500.0
-"""How long a trial waits for an idempotent request before it risks another one."""
+"""How long a trial waits for an idempotent request before it risks a
+non-idempotent one."""
 
 
 class TargetChoice:
@@ -67,7 +68,7 @@
     def choose(
         self, request: PlacementRequest, typical_ms: float, now_ms: float
     ) -> TargetTracker | None:
-        """Return the target for a placement request, if one can take it."""
+        """Return the target for a placement request, None if none can accept it."""
         isolation = self._crashes.isolation(request.content)
         if isolation is not Isolation.NONE:
             return self._isolated_target(request, isolation, typical_ms, now_ms)
@@ -136,7 +137,7 @@
     def _due_target(
         self, request: PlacementRequest, now_ms: float
     ) -> TargetTracker | None:
-        """Return a due target if this request should keep up the service's floor."""
+        """Return a due target that the request should go to for the floor, if any."""
         if request.retry or not self._policies.has(Policy.FLOOR_TRIALS):
             return None
         due = [
@@ -164,7 +165,7 @@
     def _may_use_due_target(
         self, tracker: TargetTracker, request: PlacementRequest, now_ms: float
     ) -> bool:
-        # Requests from the target's own domain mostly arrive in time. Taken from any
+        # Requests from the target's own domain mostly arrive in time. With those of any
         # domain, three in four floor requests would cause traffic between domains.
         local = tracker.listed.domain == request.domain
         return local or self._floor.is_urgent(tracker, now_ms)
--- a/src/crocusspindle/core/target_costs.py
+++ b/src/crocusspindle/core/target_costs.py
@@ -1,4 +1,4 @@
-"""Estimate the cost of sending a request to each target that could take it.
+"""Estimate the cost of sending a request to each target that could accept it.
 
 Each term receives the cost so far, in milliseconds, and returns it with its own effect.
 Terms apply in the order of their registration.
@@ -75,7 +75,7 @@
 
 
 def min_other_domain_cost_ms(context: CostContext) -> float:
-    """Return the least cost of a target in another failure domain."""
+    """Return the minimum cost of a target in another failure domain."""
     return context.typical_ms * OTHER_DOMAIN_COST
 
 
@@ -94,8 +94,8 @@
 
 @cost_term(Policy.SUCCESS_AGE)
 def _loss_risk(cost: float, tracker: TargetTracker, context: CostContext) -> float:
-    # Work that may run once is lost at a gray target; idempotent work is retried, once.
-    # So the one and the retry need a recent success; other attempts find out.
+    # Non-idempotent work and retries are lost at a gray target: neither is sent again.
+    # Only idempotent first attempts can risk a target without a recent success.
     request = context.request
     if request.idempotent and not request.retry:
         return cost
@@ -108,7 +108,7 @@
 
     It may have turned gray since its last success. Work that runs for longer than
     healthy work would, and failures that do not suffice to eject it, multiply the odds.
-    The failures fade within the mean duration of a gray failure: a target that is
+    The failures decay over the mean duration of a gray failure: a target that is
     avoided for one gets no work that would clear it.
     """
     probability = context.onset_rate.probability(
--- a/src/crocusspindle/core/target_tracker.py
+++ b/src/crocusspindle/core/target_tracker.py
@@ -121,13 +121,13 @@
 Latencies that spread by their own mean, as exponential ones do, move the mean of the
 last answers by a third either way: only a larger ratio makes a target slow."""
 
-LATENCY_FADE_MS: Final = 3_000.0
-"""A latency not updated for this long gives way to the typical one of the service: a
-cold or slow target must get the chance to show that it has become fast."""
+LATENCY_DECAY_MS: Final = 3_000.0
+"""A latency not updated for this long decays to the typical one of the service: else a
+cold or slow target would get no work that shows that it has become fast."""
 
 SUSPICIOUS_AGE_NATS: Final = 4.0
 """Age that one healthy request in fifty reaches, if it runs alone: the target gets no
-new work while others can take it."""
+new work while others can accept it."""
 
 HUNG_NATS: Final = 9.0
 """One healthy target in 8,000 reaches this, as do two requests older than all of the
@@ -175,7 +175,7 @@
 
 @dataclass(slots=True)
 class TargetTracker:
-    """Hold what is known of one target."""
+    """Track the health, load and rate limit of one target."""
 
     listed: ListedTarget
     latency_updated_ms: float
@@ -232,14 +232,14 @@
         )
 
     def expected_slowness(self, now_ms: float) -> float:
-        """Return the expected ratio of its latency to the typical one, fading to 1.
+        """Return the expected ratio of its latency to the typical one, decaying to 1.
 
-        A ratio within the spread of healthy targets counts as 1: to follow it would
-        send all work to the target that was lucky last.
+        A ratio within the spread of healthy targets counts as 1: following it would
+        send all work to the target that happened to be the fastest last.
         """
         if self.slowness < SLOW_RATIO:
             return 1.0
-        fraction = min(1.0, (now_ms - self.latency_updated_ms) / LATENCY_FADE_MS)
+        fraction = min(1.0, (now_ms - self.latency_updated_ms) / LATENCY_DECAY_MS)
         return self.slowness + (1.0 - self.slowness) * fraction
 
     def reachable(self, sender: HostId, now_ms: float) -> bool:
@@ -265,7 +265,7 @@
             del self.grants[grant_id]
 
     def record_result(self, result: AttemptResult) -> None:
-        """Update the state by the result of one attempt."""
+        """Update the state with the result of one attempt."""
         now_ms = result.ended_ms
         if result.outcome is AttemptOutcome.ANSWERED:
             self._record_answer(result, now_ms)
@@ -325,7 +325,7 @@
         self.unreached_at_ms[result.sender] = now_ms
         since_ms = now_ms - AGREEMENT_MS
         recent = [at_ms for at_ms in self.unreached_at_ms.values() if at_ms > since_ms]
-        if len(recent) < 2 or self.ejection_state is EjectionState.EJECTED:  # noqa: PLR2004 - one
+        if len(recent) < 2 or self.ejection_state is EjectionState.EJECTED:  # noqa: PLR2004 - two senders
             return
         if len(recent) * result.unreached_nats >= EJECT_NATS:
             self.last_failed_ms = now_ms
@@ -345,7 +345,7 @@
             self.eject(result.ended_ms)
 
     def eject(self, now_ms: float) -> None:
-        """Give the target no work for a while, longer after each relapse.
+        """Eject the target for a while, longer after each relapse.
 
         Work that was running at its ejection ends after it, and is no relapse.
         """
--- a/src/crocusspindle/core/unreached_share.py
+++ b/src/crocusspindle/core/unreached_share.py
@@ -1,6 +1,6 @@
 """Estimate the share of a service's attempts that do not reach their target.
 
-A sender that cannot reach a target may have lost its path to it. That says little of
+A sender that cannot reach a target may have lost its path to it. That says little about
 the target while many paths are bad, and much while all are good.
 """
 
@@ -12,7 +12,8 @@
 paths would be bad once in a thousand times."""
 
 SAMPLE_WEIGHT: Final = 0.02
-"""Weight of the newest attempt: the last fifty or so count, a second of a service."""
+"""Weight of the newest attempt: the last fifty or so count, about one second of
+a service's attempts."""
 
 
 class UnreachedShare:
--- a/src/crocusspindle/core/window_bucket.py
+++ b/src/crocusspindle/core/window_bucket.py
@@ -40,12 +40,14 @@
         """Return the tokens available now; negative if tokens were granted ahead."""
         self._forget(now_ms)
         per_ms = rule.rate_per_s / 1e3
-        left = _burst(rule)
+        available = _burst(rule)
         spent = 0.0
         for _, last_ms, count in reversed(self._admissions):
             spent += count
-            left = min(left, _burst(rule) + per_ms * (now_ms - last_ms) - spent)
-        return left
+            available = min(
+                available, _burst(rule) + per_ms * (now_ms - last_ms) - spent
+            )
+        return available
 
     def _forget(self, now_ms: float) -> None:
         since_ms = now_ms - self._window_ms
