--- a/tests/core/test_any_service.py
+++ b/tests/core/test_any_service.py
@@ -2,8 +2,8 @@
 
 There are 1 to 200 targets, work of 2 ms to 20 s, errors, and gray failures of half a
 second to a minute. The oracle knows which targets are gray and sends nothing there.
-What no placer can avoid, as requests that meet a target while it turns gray, is allowed
-for by the number of gray failures.
+No placer can avoid losing requests that reach a target while it turns gray: the bound
+grows with the number of gray failures.
 """
 
 import random
@@ -65,7 +65,7 @@
 
 
 def gray_windows(scenario: ServiceScenario) -> float:
-    """Return how many gray failures there are to be found."""
+    """Return how many gray failures a placer has to detect."""
     assert scenario.gray is not None
     periods = scenario.length_ms / scenario.gray.period_ms + 1.0
     return scenario.targets * scenario.gray.share * periods
@@ -81,8 +81,8 @@
     scenario = random_scenario(seed)
     tallies = PlacingTrial(scenario, seed).run()
     oracle = PlacingTrial(scenario, seed, oracle=True).run()
-    # A gray failure is found by as many requests as its target has slots, and met again
-    # at returns: three for each slot, of all requests at most a tenth.
+    # A gray failure costs a request for each slot of its target, and again when the
+    # ejection ends: three for each slot, and at most a tenth of all requests.
     max_extra_failures = min(
         0.1 * REQUESTS, 3.0 * scenario.slots * gray_windows(scenario)
     )
--- a/tests/core/test_floor_under_faults.py
+++ b/tests/core/test_floor_under_faults.py
@@ -75,8 +75,8 @@
 
 
 @dataclass
-class Case:
-    """Hold one request."""
+class CallerRequest:
+    """Hold one request of a caller and the targets it has tried."""
 
     began_ms: float
     sender: HostId
@@ -103,7 +103,7 @@
 
     at_ms: float
     number: int
-    caller_request: Case = field(compare=False)
+    caller_request: CallerRequest = field(compare=False)
     placement: PlacementGranted = field(compare=False)
     outcome: AttemptOutcome = field(compare=False)
     latency_ms: float = field(compare=False)
@@ -125,7 +125,7 @@
         self._speed_factors = [self._rng.uniform(0.6, 2.2) for _ in range(TARGETS)]
         self._number = 0
         self._attempt_ends: list[AttemptEnd] = []
-        self._waiting: list[tuple[Case, QueuedRequest]] = []
+        self._waiting: list[tuple[CallerRequest, QueuedRequest]] = []
 
     def run(self) -> None:
         """Send requests at random times until the end of the run."""
@@ -135,15 +135,15 @@
             self._finish_attempts_until(now_ms)
             self._request_target(self._draw_request(now_ms), now_ms)
 
-    def _draw_request(self, now_ms: float) -> "Case":
-        return Case(
+    def _draw_request(self, now_ms: float) -> "CallerRequest":
+        return CallerRequest(
             now_ms,
             HostId(f"entry{self._rng.randrange(30)}"),
             DomainId("abcd"[self._rng.randrange(4)]),
             self._rng.random() < self._idempotent_share,
         )
 
-    def _request_target(self, caller_request: "Case", now_ms: float) -> None:
+    def _request_target(self, caller_request: "CallerRequest", now_ms: float) -> None:
         decision = self.placer.request_placement(
             caller_request.placement_request(now_ms), now_ms
         )
@@ -153,14 +153,14 @@
             self._start_attempt(caller_request, decision, now_ms)
 
     def _process_decided(self, now_ms: float) -> None:
-        settled = [one for one in self._waiting if one[1].settled is not None]
-        self._waiting = [one for one in self._waiting if one[1].settled is None]
+        settled = [entry for entry in self._waiting if entry[1].settled is not None]
+        self._waiting = [entry for entry in self._waiting if entry[1].settled is None]
         for caller_request, waiting in settled:
             self._start_attempt(caller_request, waiting.settled, now_ms)
 
     def _start_attempt(
         self,
-        caller_request: "Case",
+        caller_request: "CallerRequest",
         placement: PlacementGranted | PlacementRefused,
         now_ms: float,
     ) -> None:
--- a/tests/core/test_placing_cost.py
+++ b/tests/core/test_placing_cost.py
@@ -43,6 +43,6 @@
 
 @pytest.mark.parametrize("gray", [None, REFUSING], ids=["calm", "refusing"])
 def test_placing_among_hundreds_of_targets_leaves_the_host_time_to_serve(gray):
-    """Guards against a placer too busy to answer, which other nodes take for silent."""
+    """Guards against a placer too busy to answer, which other nodes consider silent."""
     calls, requests = calls_of(replace(BUSY, gray=gray))
     assert calls <= CALLS_PER_REQUEST * requests
--- a/tests/core/test_placing_limits.py
+++ b/tests/core/test_placing_limits.py
@@ -72,26 +72,26 @@
             AIM_MS,
             at_ms + DEADLINE_MS,
         )
-        self._handle_answer(
+        self._handle_decision(
             self.placer.request_placement(request, float(at_ms)), priority, at_ms, at_ms
         )
 
-    def _handle_answer(self, answer, priority, sent_ms, at_ms):
-        if isinstance(answer, QueuedRequest):
-            self.waiting.append((answer, priority, sent_ms))
-        elif isinstance(answer, PlacementRefused):
+    def _handle_decision(self, decision, priority, sent_ms, at_ms):
+        if isinstance(decision, QueuedRequest):
+            self.waiting.append((decision, priority, sent_ms))
+        elif isinstance(decision, PlacementRefused):
             self.outcomes[priority].append((None, at_ms - sent_ms))
         else:
             self.number += 1
-            self.sent[answer.target.identity].append(at_ms)
-            end = (at_ms + WORK_MS, self.number, answer, priority, sent_ms)
+            self.sent[decision.target.identity].append(at_ms)
+            end = (at_ms + WORK_MS, self.number, decision, priority, sent_ms)
             heapq.heappush(self.running, end)
 
     def _process_decided(self, at_ms):
         settled = [entry for entry in self.waiting if entry[0].settled is not None]
         self.waiting = [entry for entry in self.waiting if entry[0].settled is None]
         for waiting, priority, sent_ms in settled:
-            self._handle_answer(waiting.settled, priority, sent_ms, at_ms)
+            self._handle_decision(waiting.settled, priority, sent_ms, at_ms)
 
     def _end_attempt(self, at_ms, _, placed, priority, sent_ms):
         target = placed.target.identity
@@ -123,8 +123,8 @@
     load = LoadSimulation(6, [limit_per_s] * 3, requests_per_s=40.0)
     load.run(20_000)
     for target in load.limits:
-        most_attempts = max_in_window(load.sent[target], from_ms=2_000)
-        assert most_attempts <= 1.5 * 4.0 * limit_per_s + 5.0
+        max_attempts = max_in_window(load.sent[target], from_ms=2_000)
+        assert max_attempts <= 1.5 * 4.0 * limit_per_s + 5.0
         assert len(load.sent[target]) >= 0.5 * 18.0 * limit_per_s
     assert load.on_time_share(0) >= 0.99 and load.on_time_share(1) >= 0.99
 
--- a/tests/core/test_placing_load.py
+++ b/tests/core/test_placing_load.py
@@ -58,7 +58,7 @@
 
 
 def with_rate_factor(scenario: ServiceScenario, factor: float) -> ServiceScenario:
-    """Return a site with its request rates multiplied by a factor."""
+    """Return a scenario with its request rates multiplied by a factor."""
     route_loads = [
         replace(route_load, rate_per_s=route_load.rate_per_s * factor)
         for route_load in scenario.route_loads
@@ -80,7 +80,7 @@
 
 
 def test_a_lookup_that_hangs_is_hedged_within_its_latency_objective():
-    """Look-ups are the requests that find out which targets hang.
+    """Look-ups are the requests by which a placer detects that a target hangs.
 
     Their callers must not notice: the second attempt still has to answer in time.
     """
@@ -119,8 +119,8 @@
 def test_over_its_capacity_a_service_serves_the_urgent_in_time():
     """A service gets a quarter more requests than it can carry.
 
-    Confirmations have the higher priority and are served in time. Look-ups take what is
-    left, and those that cannot be served are refused at once.
+    Confirmations have the higher priority and are served in time. Look-ups get the
+    slots that are left, and those that cannot be served are refused at once.
     """
     scenario = replace(with_rate_factor(BOOKINGS, 3.4), gray=None)
     tallies = run_all_seeds(scenario)
@@ -147,7 +147,7 @@
     assert waits.credit() > refused.credit()
 
 
-def test_when_all_targets_slow_down_none_is_taken_for_hung():
+def test_when_all_targets_slow_down_none_is_considered_hung():
     """A store behind a service makes all its targets take two and a half times as long.
 
     By the latencies of a moment ago all of them hang. Ejected together they would leave
@@ -167,8 +167,8 @@
 def test_paths_that_lose_connections_eject_no_target():
     """One path in eight loses three connections in ten, at every target.
 
-    Guards against entries that agree by chance: healthy targets would be ejected one
-    after the other until a third of the service idles while requests go unserved.
+    Guards against entries that agree by coincidence: healthy targets would be ejected
+    one after the other until a third of the service idles while requests go unserved.
     """
     scenario = replace(BOOKINGS, gray=None, paths=BadPaths(0.12, 0.3))
     trial = PlacingTrial(scenario, 1)
--- a/tests/core/test_rate_limit.py
+++ b/tests/core/test_rate_limit.py
@@ -13,8 +13,8 @@
 TARGET = TargetIdentity("t0")
 
 
-def report(limit_per_s, asked_ms):
-    return LimitReport(TARGET, limit_per_s, asked_ms)
+def report(limit_per_s, sent_ms):
+    return LimitReport(TARGET, limit_per_s, sent_ms)
 
 
 def limited(limit_per_s):
--- a/tests/core/test_reader_choice.py
+++ b/tests/core/test_reader_choice.py
@@ -15,7 +15,7 @@
 
 
 NODES = [node(f"n{number}") for number in range(12)]
-BY_HOST = {one.host: one for one in NODES}
+BY_HOST = {candidate.host: candidate for candidate in NODES}
 OWN = HostId("own")
 ROUND_MS = 950.0
 """Time in which a node polls three silent readers and pauses."""
@@ -85,7 +85,10 @@
         choice.suspect(BY_HOST[first], now_ms)
         choice.trust(second, now_ms + 1.0)
     assert choice.candidates(NODES, 600.0)[0] == second
-    after_restart = [node(first, "2"), *(one for one in NODES if one.host != first)]
+    after_restart = [
+        node(first, "2"),
+        *(candidate for candidate in NODES if candidate.host != first),
+    ]
     assert choice.candidates(after_restart, 600.0)[0] == first
 
 
--- a/tests/core/test_request_isolation.py
+++ b/tests/core/test_request_isolation.py
@@ -61,8 +61,8 @@
         table.record_crash(CrashReport(TargetIdentity(target), contents), 0.0)
 
 
-def end_attempt(placer, placed, ending=AttemptOutcome.ANSWERED, at_ms=100.0):
-    placer.ended(placed.target.identity, placed.grant, ending, SENDER, 50.0, at_ms)
+def end_attempt(placer, placed, outcome=AttemptOutcome.ANSWERED, at_ms=100.0):
+    placer.ended(placed.target.identity, placed.grant, outcome, SENDER, 50.0, at_ms)
 
 
 def test_a_suspect_request_gets_a_target_of_its_own(table):
--- a/tests/core/test_service_placer.py
+++ b/tests/core/test_service_placer.py
@@ -1,7 +1,7 @@
 """Place the requests of one service: load, gray targets, paths, floors.
 
 Typical services have 8 to 15 targets of 2 to 6 slots, work of some 200 ms, and a third
-to the whole of their slots taken.
+to all of their slots busy.
 """
 
 import random
@@ -73,8 +73,8 @@
 
 
 def test_work_fills_free_slots_before_any_target_gets_more():
-    books = make_placer()
-    placed = [books.request_placement(request(), 0.0) for _ in range(16)]
+    placer = make_placer()
+    placed = [placer.request_placement(request(), 0.0) for _ in range(16)]
     counts: dict[str, int] = {}
     for place in placed:
         assert isinstance(place, PlacementGranted)
@@ -87,40 +87,40 @@
 
     Urgent ones go first, and those that would be late anyway are refused at once.
     """
-    books = make_placer(count=1, slots=1)
-    first = books.request_placement(request(), 0.0)
+    placer = make_placer(count=1, slots=1)
+    first = placer.request_placement(request(), 0.0)
     assert isinstance(first, PlacementGranted)
-    slow = books.request_placement(request(priority=3), 0.0)
-    urgent = books.request_placement(request(priority=0), 0.0)
+    slow = placer.request_placement(request(priority=3), 0.0)
+    urgent = placer.request_placement(request(priority=0), 0.0)
     assert isinstance(slow, QueuedRequest) and isinstance(urgent, QueuedRequest)
-    late = books.request_placement(request(priority=3), 0.0)
+    late = placer.request_placement(request(priority=3), 0.0)
     assert isinstance(late, PlacementRefused) and late.reason == "full"
-    end_attempt(books, first, AttemptOutcome.ANSWERED, WORK_MS)
+    end_attempt(placer, first, AttemptOutcome.ANSWERED, WORK_MS)
     assert isinstance(urgent.settled, PlacementGranted) and slow.settled is None
 
 
-def test_one_reset_ejects_a_target_for_everyone():
+def test_one_reset_ejects_a_target_for_all_entries():
     """A target breaks the connections of nearly all its work for two seconds.
 
     Each request sent there meanwhile is lost.
     """
-    books = make_placer()
-    first = books.request_placement(request(), 0.0)
-    end_attempt(books, first, AttemptOutcome.BROKEN, 5.0)
-    (change,) = books.changes()
+    placer = make_placer()
+    first = placer.request_placement(request(), 0.0)
+    end_attempt(placer, first, AttemptOutcome.BROKEN, 5.0)
+    (change,) = placer.changes()
     assert change.standing is EjectionState.EJECTED
-    later = [books.request_placement(request(100.0), 100.0) for _ in range(14)]
+    later = [placer.request_placement(request(100.0), 100.0) for _ in range(14)]
     assert first.target.identity not in {place.target.identity for place in later}
 
 
 def test_occasional_errors_eject_no_target():
-    books = make_placer()
+    placer = make_placer()
     for step in range(400):
         now_ms = step * 50.0
-        place = books.request_placement(request(now_ms), now_ms)
+        place = placer.request_placement(request(now_ms), now_ms)
         outcome = AttemptOutcome.ERROR if step % 83 == 0 else AttemptOutcome.ANSWERED
-        end_attempt(books, place, outcome, now_ms + 40.0)
-    assert not books.changes()
+        end_attempt(placer, place, outcome, now_ms + 40.0)
+    assert not placer.changes()
 
 
 def test_an_ejected_target_is_tried_with_an_idempotent_request():
@@ -128,15 +128,15 @@
 
     A payment that meets it gray is lost; a page view is retried elsewhere.
     """
-    books = make_placer()
-    broken = books.request_placement(request(), 0.0)
-    end_attempt(books, broken, AttemptOutcome.BROKEN, 5.0)
-    out = broken.target.identity
+    placer = make_placer()
+    broken = placer.request_placement(request(), 0.0)
+    end_attempt(placer, broken, AttemptOutcome.BROKEN, 5.0)
+    ejected = broken.target.identity
     for _ in range(12):
-        payment = books.request_placement(request(2_600.0), 2_600.0)
-        assert payment.target.identity != out
-    page = books.request_placement(request(2_600.0, idempotent=True), 2_600.0)
-    assert page.target.identity == out
+        payment = placer.request_placement(request(2_600.0), 2_600.0)
+        assert payment.target.identity != ejected
+    page = placer.request_placement(request(2_600.0, idempotent=True), 2_600.0)
+    assert page.target.identity == ejected
 
 
 def test_a_trial_takes_more_with_each_answer():
@@ -144,17 +144,17 @@
 
     With one request at a time each, callers would have no free slots for seconds.
     """
-    books = make_placer(count=1, slots=4)
-    broken = books.request_placement(request(), 0.0)
-    end_attempt(books, broken, AttemptOutcome.BROKEN, 5.0)
-    first = books.request_placement(request(2_600.0, idempotent=True), 2_600.0)
+    placer = make_placer(count=1, slots=4)
+    broken = placer.request_placement(request(), 0.0)
+    end_attempt(placer, broken, AttemptOutcome.BROKEN, 5.0)
+    first = placer.request_placement(request(2_600.0, idempotent=True), 2_600.0)
     assert isinstance(first, PlacementGranted)
     assert isinstance(
-        books.request_placement(request(2_600.0), 2_600.0), PlacementRefused
+        placer.request_placement(request(2_600.0), 2_600.0), PlacementRefused
     )
-    end_attempt(books, first, AttemptOutcome.ANSWERED, 2_800.0)
+    end_attempt(placer, first, AttemptOutcome.ANSWERED, 2_800.0)
     more = [
-        books.request_placement(request(2_800.0, idempotent=True), 2_800.0)
+        placer.request_placement(request(2_800.0, idempotent=True), 2_800.0)
         for _ in range(3)
     ]
     assert [isinstance(place, PlacementGranted) for place in more] == [
@@ -165,123 +165,123 @@
 
 
 def test_a_relapse_is_ejected_for_longer():
-    books = make_placer(count=1)
-    for out_ms, now_ms in ((2_500.0, 0.0), (5_000.0, 2_600.0), (10_000.0, 7_700.0)):
-        place = books.request_placement(request(now_ms, idempotent=True), now_ms)
-        end_attempt(books, place, AttemptOutcome.BROKEN, now_ms)
-        tracker = books.trackers()[place.target.identity]
-        assert tracker.ejected_until_ms == now_ms + out_ms
+    placer = make_placer(count=1)
+    for ejected_ms, now_ms in ((2_500.0, 0.0), (5_000.0, 2_600.0), (10_000.0, 7_700.0)):
+        place = placer.request_placement(request(now_ms, idempotent=True), now_ms)
+        end_attempt(placer, place, AttemptOutcome.BROKEN, now_ms)
+        tracker = placer.trackers()[place.target.identity]
+        assert tracker.ejected_until_ms == now_ms + ejected_ms
 
 
 def test_one_sender_that_reaches_nothing_is_attributed_to_its_path():
     """One entry's path to a target is cut; all others reach it.
 
-    To eject it for all entries would take a healthy target out of use.
+    To eject it for all entries would waste a healthy target.
     """
-    books = make_placer()
-    place = books.request_placement(request(), 0.0)
-    end_attempt(books, place, AttemptOutcome.UNREACHED, 300.0)
-    assert not books.changes()
-    own = [books.request_placement(request(400.0), 400.0) for _ in range(14)]
+    placer = make_placer()
+    place = placer.request_placement(request(), 0.0)
+    end_attempt(placer, place, AttemptOutcome.UNREACHED, 300.0)
+    assert not placer.changes()
+    own = [placer.request_placement(request(400.0), 400.0) for _ in range(14)]
     assert place.target.identity not in {p.target.identity for p in own}
-    other = books.request_placement(request(400.0, sender=HostId("other")), 400.0)
+    other = placer.request_placement(request(400.0, sender=HostId("other")), 400.0)
     assert other.target.identity == place.target.identity
 
 
 def test_two_senders_that_reach_nothing_are_attributed_to_the_target():
-    books = make_placer()
-    place = books.request_placement(request(), 0.0)
-    end_attempt(books, place, AttemptOutcome.UNREACHED, 300.0)
+    placer = make_placer()
+    place = placer.request_placement(request(), 0.0)
+    end_attempt(placer, place, AttemptOutcome.UNREACHED, 300.0)
     again = place
     while again.target.identity != place.target.identity or again is place:
-        again = books.request_placement(request(400.0, sender=HostId("other")), 400.0)
-    end_attempt(books, again, AttemptOutcome.UNREACHED, 700.0, sender=HostId("other"))
-    assert [change.standing for change in books.changes()] == [EjectionState.EJECTED]
+        again = placer.request_placement(request(400.0, sender=HostId("other")), 400.0)
+    end_attempt(placer, again, AttemptOutcome.UNREACHED, 700.0, sender=HostId("other"))
+    assert [change.standing for change in placer.changes()] == [EjectionState.EJECTED]
 
 
 def placer_with_samples(count: int = 8) -> ServicePlacer:
-    books = make_placer(count)
-    draw = random.Random(3)
+    placer = make_placer(count)
+    rng = random.Random(3)
     for step in range(200):
-        place = books.request_placement(request(), 0.0)
-        latency_ms = draw.lognormvariate(5.2, 0.4)
+        place = placer.request_placement(request(), 0.0)
+        latency_ms = rng.lognormvariate(5.2, 0.4)
         end_attempt(
-            books, place, AttemptOutcome.ANSWERED, step * 1.0, latency_ms=latency_ms
+            placer, place, AttemptOutcome.ANSWERED, step * 1.0, latency_ms=latency_ms
         )
-    return books
+    return placer
 
 
 def test_a_target_with_overdue_work_gets_no_more_while_others_can_take_it():
     """A target accepts requests and never answers them."""
-    books = placer_with_samples()
-    late = books.request_placement(request(1_000.0), 1_000.0)
+    placer = placer_with_samples()
+    late = placer.request_placement(request(1_000.0), 1_000.0)
     for step in range(60):
         now_ms = 1_700.0 + step * 10
-        place = books.request_placement(request(now_ms), now_ms)
+        place = placer.request_placement(request(now_ms), now_ms)
         assert place.target.identity != late.target.identity
-        end_attempt(books, place, AttemptOutcome.ANSWERED, now_ms + 5.0)
+        end_attempt(placer, place, AttemptOutcome.ANSWERED, now_ms + 5.0)
 
 
 def test_a_hung_target_is_ejected_before_its_callers_deadlines():
     """A target hangs with both slots taken.
 
-    Without a response, its callers would find out at their deadlines, and the next two
-    would take their slots.
+    Without a response, its callers would notice at their deadlines, and the next two
+    requests would occupy the same slots.
     """
-    books = placer_with_samples(count=1)
+    placer = placer_with_samples(count=1)
     for _ in range(2):
-        books.request_placement(request(1_000.0), 1_000.0)
-    books.process_due(1_300.0)
-    assert not books.changes()
-    books.process_due(1_900.0)
-    assert [change.standing for change in books.changes()] == [EjectionState.EJECTED]
+        placer.request_placement(request(1_000.0), 1_000.0)
+    placer.process_due(1_300.0)
+    assert not placer.changes()
+    placer.process_due(1_900.0)
+    assert [change.standing for change in placer.changes()] == [EjectionState.EJECTED]
 
 
-def test_many_gray_windows_in_a_row_keep_the_floor():
+def test_many_ejections_in_a_row_keep_the_floor():
     """Half of the targets failed a moment ago, and the others' slots are all taken.
 
     Some of the five may be healthy again, and callers would be refused meanwhile.
     """
-    books = make_placer(count=10)
+    placer = make_placer(count=10)
     for n in range(5):
-        place = books.request_placement(request(), 0.0)
-        end_attempt(books, place, AttemptOutcome.BROKEN, n * 10.0)
-    books.process_due(2_200.0)
-    states = [tracker.ejection_state for tracker in books.trackers().values()]
+        place = placer.request_placement(request(), 0.0)
+        end_attempt(placer, place, AttemptOutcome.BROKEN, n * 10.0)
+    placer.process_due(2_200.0)
+    states = [tracker.ejection_state for tracker in placer.trackers().values()]
     assert states.count(EjectionState.EJECTED) == 5
     for _ in range(8):
-        books.request_placement(request(2_200.0), 2_200.0)
-    books.process_due(2_200.0)
-    states = [tracker.ejection_state for tracker in books.trackers().values()]
+        placer.request_placement(request(2_200.0), 2_200.0)
+    placer.process_due(2_200.0)
+    states = [tracker.ejection_state for tracker in placer.trackers().values()]
     assert states.count(EjectionState.EJECTED) == 3
 
 
 def test_retries_stop_at_the_budget():
     """All targets shed half of their work, and every refusal causes a retry."""
-    books = make_placer(count=15)
+    placer = make_placer(count=15)
     refused = 0
     for step in range(1_000):
         now_ms = step * 9.0
-        place = books.request_placement(request(now_ms), now_ms)
+        place = placer.request_placement(request(now_ms), now_ms)
         if isinstance(place, PlacementGranted):
-            end_attempt(books, place, AttemptOutcome.ABANDONED, now_ms)
-        again = books.request_placement(request(now_ms, retry=True), now_ms)
+            end_attempt(placer, place, AttemptOutcome.ABANDONED, now_ms)
+        again = placer.request_placement(request(now_ms, retry=True), now_ms)
         if isinstance(again, PlacementGranted):
-            end_attempt(books, again, AttemptOutcome.ABANDONED, now_ms)
+            end_attempt(placer, again, AttemptOutcome.ABANDONED, now_ms)
         refused += isinstance(again, PlacementRefused)
     assert 1_000 - refused <= 0.2 * 1_000 + 58
 
 
 def test_the_slot_of_a_killed_sender_is_freed_at_the_deadline():
     """An entry is killed with requests running, and never reports their outcomes."""
-    books = make_placer(count=1, slots=1)
-    books.request_placement(request(), 0.0)
+    placer = make_placer(count=1, slots=1)
+    placer.request_placement(request(), 0.0)
     assert isinstance(
-        books.request_placement(request(2_001.0), 2_001.0), PlacementGranted
+        placer.request_placement(request(2_001.0), 2_001.0), PlacementGranted
     )
 
 
-def test_gray_windows_cost_few_requests():
+def test_gray_failures_cost_few_requests():
     """A third of the targets break all their work for two seconds of each nine.
 
     Compares the requests lost with pooled evidence, as in this placer, and without
@@ -290,19 +290,19 @@
     """
     lost = {True: 0, False: 0}
     for pooled in lost:
-        draw = random.Random(7)
-        books = make_placer(count=15)
-        phase = {f"t{n}": draw.uniform(0, 9_000) for n in range(5)}
+        rng = random.Random(7)
+        placer = make_placer(count=15)
+        phase = {f"t{n}": rng.uniform(0, 9_000) for n in range(5)}
         for step in range(3_000):
             now_ms = step * 33.0
-            place = books.request_placement(request(now_ms), now_ms)
+            place = placer.request_placement(request(now_ms), now_ms)
             name = place.target.identity
             gray = name in phase and (now_ms + phase[name]) % 9_000 < 2_000
             lost[pooled] += gray
             outcome = (
                 AttemptOutcome.BROKEN if gray and pooled else AttemptOutcome.ANSWERED
             )
-            end_attempt(books, place, outcome, now_ms + 1.0)
+            end_attempt(placer, place, outcome, now_ms + 1.0)
     assert lost[False] > 150
     assert lost[True] * 3 < lost[False]
 
@@ -310,18 +310,18 @@
 def test_abandoned_work_counts_against_its_target():
     """A target hangs, and every look-up sent there is hedged and answered elsewhere.
 
-    Nobody waits for the first attempt any more. If it were ignored, the next
+    No caller waits for the first attempt any more. If it were ignored, the next
     confirmation would be sent to the same target and lost.
     """
-    books = placer_with_samples(count=2)
-    hung = books.request_placement(request(1_000.0, idempotent=True), 1_000.0)
-    end_attempt(books, hung, AttemptOutcome.ABANDONED, 1_700.0, latency_ms=700.0)
+    placer = placer_with_samples(count=2)
+    hung = placer.request_placement(request(1_000.0, idempotent=True), 1_000.0)
+    end_attempt(placer, hung, AttemptOutcome.ABANDONED, 1_700.0, latency_ms=700.0)
     for step in range(4):
         now_ms = 1_800.0 + step * 10
-        place = books.request_placement(request(now_ms), now_ms)
+        place = placer.request_placement(request(now_ms), now_ms)
         assert place.target.identity != hung.target.identity
         end_attempt(
-            books, place, AttemptOutcome.ANSWERED, now_ms + 5.0, latency_ms=150.0
+            placer, place, AttemptOutcome.ANSWERED, now_ms + 5.0, latency_ms=150.0
         )
 
 
@@ -330,30 +330,30 @@
 
     Counted as hangs, their requests would eject healthy targets.
     """
-    books = placer_with_samples()
+    placer = placer_with_samples()
     for step in range(50):
         now_ms = 1_000.0 + step * 100
-        place = books.request_placement(request(now_ms), now_ms)
+        place = placer.request_placement(request(now_ms), now_ms)
         end_attempt(
-            books, place, AttemptOutcome.ABANDONED, now_ms + 90.0, latency_ms=90.0
+            placer, place, AttemptOutcome.ABANDONED, now_ms + 90.0, latency_ms=90.0
         )
-    assert not books.changes()
+    assert not placer.changes()
 
 
 def test_a_target_is_tried_by_an_idempotent_request_some_time_after_its_failure():
     """A relapsed target is ejected for ten seconds, though it was gray for three.
 
-    An idempotent request finds out at the price of a second attempt, and callers need
-    the healthy targets while requests fail.
+    An idempotent request can test it at the cost of a second attempt, and callers
+    need the healthy targets while requests fail.
     """
-    books = make_placer()
-    broken = books.request_placement(request(), 0.0)
-    end_attempt(books, broken, AttemptOutcome.BROKEN, 0.0)
-    tracker = books.trackers()[broken.target.identity]
+    placer = make_placer()
+    broken = placer.request_placement(request(), 0.0)
+    end_attempt(placer, broken, AttemptOutcome.BROKEN, 0.0)
+    tracker = placer.trackers()[broken.target.identity]
     tracker.ejected_until_ms = 10_000.0
-    payment = [books.request_placement(request(2_100.0), 2_100.0) for _ in range(14)]
+    payment = [placer.request_placement(request(2_100.0), 2_100.0) for _ in range(14)]
     assert broken.target.identity not in {p.target.identity for p in payment}
-    page = books.request_placement(request(2_100.0, idempotent=True), 2_100.0)
+    page = placer.request_placement(request(2_100.0, idempotent=True), 2_100.0)
     assert page.target.identity == broken.target.identity
 
 
@@ -363,17 +363,17 @@
     Those in the local domain have free slots, so nothing else would send work to the
     others.
     """
-    books = placer_with_samples(count=8)
+    placer = placer_with_samples(count=8)
     for step in range(6):
-        place = books.request_placement(request(1_000.0), 1_000.0)
-        end_attempt(books, place, AttemptOutcome.ERROR, 1_001.0 + step)
+        place = placer.request_placement(request(1_000.0), 1_000.0)
+        end_attempt(placer, place, AttemptOutcome.ERROR, 1_001.0 + step)
     used = set()
     for step in range(20):
         now_ms = 2_500.0 + step * 20
-        place = books.request_placement(request(now_ms, idempotent=True), now_ms)
+        place = placer.request_placement(request(now_ms, idempotent=True), now_ms)
         used.add(place.target.identity)
         end_attempt(
-            books, place, AttemptOutcome.ANSWERED, now_ms + 10.0, latency_ms=150.0
+            placer, place, AttemptOutcome.ANSWERED, now_ms + 10.0, latency_ms=150.0
         )
     assert len(used) >= 6
 
@@ -384,34 +384,34 @@
     Each failure is evidence against one of them. Ejected together they would leave no
     room for the work that most of them would have done.
     """
-    books = make_placer(count=10)
+    placer = make_placer(count=10)
     for step in range(100):
-        place = books.request_placement(request(step * 10.0), step * 10.0)
+        place = placer.request_placement(request(step * 10.0), step * 10.0)
         if isinstance(place, PlacementGranted):
-            end_attempt(books, place, AttemptOutcome.ERROR, step * 10.0 + 5.0)
-    states = [tracker.ejection_state for tracker in books.trackers().values()]
+            end_attempt(placer, place, AttemptOutcome.ERROR, step * 10.0 + 5.0)
+    states = [tracker.ejection_state for tracker in placer.trackers().values()]
     assert states.count(EjectionState.EJECTED) <= 3
 
 
 def test_a_hedge_without_a_free_slot_costs_no_retry():
     """A target hangs, and all others of its service are excluded or taken.
 
-    Its request asks for a hedge again and again. If each one were counted, the service
+    The entry requests a hedge repeatedly. If each one were counted, the service
     would have no retries left when there is a free slot.
     """
-    books = ServicePlacer(0.7, RetryBudget(0.0, 10.0, 10_000.0))
-    books.set_targets(listed_targets(2), 0.0)
-    books.request_placement(request(idempotent=True), 0.0)
+    placer = ServicePlacer(0.7, RetryBudget(0.0, 10.0, 10_000.0))
+    placer.set_targets(listed_targets(2), 0.0)
+    placer.request_placement(request(idempotent=True), 0.0)
     fields = {"idempotent": True, "retry": True, "hedge": True}
-    everyone = frozenset(books.trackers())
+    all_targets = frozenset(placer.trackers())
     for step in range(50):
         now_ms = 300.0 + step
-        again = books.request_placement(
-            request(now_ms, excluded=everyone, **fields), now_ms
+        again = placer.request_placement(
+            request(now_ms, excluded=all_targets, **fields), now_ms
         )
         assert isinstance(again, PlacementRefused) and again.reason == "full"
     assert isinstance(
-        books.request_placement(request(400.0, **fields), 400.0), PlacementGranted
+        placer.request_placement(request(400.0, **fields), 400.0), PlacementGranted
     )
 
 
@@ -421,11 +421,11 @@
     If each counted as a relapse, its next ejection would last ten seconds though it was
     gray for two.
     """
-    books = make_placer(count=1, slots=6)
-    running = [books.request_placement(request(), 0.0) for _ in range(6)]
+    placer = make_placer(count=1, slots=6)
+    running = [placer.request_placement(request(), 0.0) for _ in range(6)]
     for place in running:
-        end_attempt(books, place, AttemptOutcome.BROKEN, 10.0)
-    tracker = books.trackers()[running[0].target.identity]
+        end_attempt(placer, place, AttemptOutcome.BROKEN, 10.0)
+    tracker = placer.trackers()[running[0].target.identity]
     assert tracker.ejection_ms == tracker.ejected_until_ms - 10.0 == 2_500.0
 
 
@@ -435,10 +435,10 @@
     Queued for a slot that it may not take, its caller would learn of the failure
     seconds later.
     """
-    books = make_placer(count=1, slots=1)
-    first = books.request_placement(request(idempotent=True), 0.0)
-    again = request(idempotent=True, retry=True, excluded=frozenset(books.trackers()))
-    refused = books.request_placement(again, 10.0)
+    placer = make_placer(count=1, slots=1)
+    first = placer.request_placement(request(idempotent=True), 0.0)
+    again = request(idempotent=True, retry=True, excluded=frozenset(placer.trackers()))
+    refused = placer.request_placement(again, 10.0)
     assert isinstance(first, PlacementGranted)
     assert isinstance(refused, PlacementRefused) and refused.reason == "no-target"
 
@@ -447,11 +447,11 @@
     """A hundred requests are queued at a service whose slots are all taken.
 
     The queue is served at each end of an attempt. Checking every target for each
-    request would take the placer's processor when it is needed most.
+    request would use up the placer's CPU time when it is needed most.
     """
-    books = placer_with_samples(count=20)
+    placer = placer_with_samples(count=20)
     while isinstance(
-        books.request_placement(request(1_000.0), 1_000.0), PlacementGranted
+        placer.request_placement(request(1_000.0), 1_000.0), PlacementGranted
     ):
         pass
     checks = 0
@@ -461,10 +461,10 @@
         checks += 1
         return True
 
-    for tracker in books.trackers().values():
+    for tracker in placer.trackers().values():
         tracker.full_until_ms = 5_000.0
     for _ in range(100):
-        books.request_placement(request(1_000.0, deadline_ms=60_000.0), 1_000.0)
-    books._reachable = counted
-    books.process_due(1_010.0)
+        placer.request_placement(request(1_000.0, deadline_ms=60_000.0), 1_000.0)
+    placer._reachable = counted
+    placer.process_due(1_010.0)
     assert checks == 0
