--- a/src/crocusspindle/core/crash_table.py
+++ b/src/crocusspindle/core/crash_table.py
@@ -111,9 +111,9 @@
         """Merge the records of other hosts and return those that changed."""
         changed: list[CrashRecord] = []
         for received in records:
-            known = self._records.get(received.content)
-            merged = received if known is None else known.merged(received)
-            if merged != known and merged.last_ms > now_ms - FORGET_MS:
+            current = self._records.get(received.content)
+            merged = received if current is None else current.merged(received)
+            if merged != current and merged.last_ms > now_ms - FORGET_MS:
                 self._records[received.content] = merged
                 changed.append(merged)
         self._drop_old(now_ms)
--- a/src/crocusspindle/core/crash_watch.py
+++ b/src/crocusspindle/core/crash_watch.py
@@ -60,13 +60,13 @@
     ) -> None:
         # The attempts at a crashed target end one by one. Counted one by one, the last
         # would seem to have run alone. A target may restart under its identity.
-        known = self._crashed.get(target)
-        if known is None or now_ms - known.at_ms > SAME_CRASH_MS:
-            known = self._crashed[target] = _Crashed(now_ms)
-        new = {content for content in contents if content} - known.contents
+        last_crash = self._crashed.get(target)
+        if last_crash is None or now_ms - last_crash.at_ms > SAME_CRASH_MS:
+            last_crash = self._crashed[target] = _Crashed(now_ms)
+        new = {content for content in contents if content} - last_crash.contents
         if new:
-            known.contents |= new
-            self._reports.append(CrashReport(target, frozenset(known.contents)))
+            last_crash.contents |= new
+            self._reports.append(CrashReport(target, frozenset(last_crash.contents)))
 
     def keep(self, listed: Iterable[TargetIdentity]) -> None:
         """Forget the targets that are no longer listed."""
--- a/src/crocusspindle/core/floor_watch.py
+++ b/src/crocusspindle/core/floor_watch.py
@@ -42,8 +42,8 @@
 those that seem healthy are not."""
 
 RELAPSED_FRACTION: Final = 0.5
-"""Fraction of its ejection after which a target that failed at its return counts as
-healthy again: earlier, most floor requests would go to targets that stay faulty."""
+"""Fraction of its ejection after which a target that has relapsed counts as healthy
+again: earlier, most floor requests would go to targets that stay faulty."""
 
 LONG_HEALTHY_MS: Final = 6_000.0
 """A target without a failure for this long counts as reliably healthy: a failure after
@@ -188,7 +188,7 @@
         return False
     healthy_after_ms = HEALTHY_AFTER_MS
     if tracker.ejection_state is EjectionState.EJECTED:
-        # A target that failed at its last return as well is less likely to be healthy.
+        # A target that has relapsed is less likely to be healthy.
         healthy_after_ms = max(
             healthy_after_ms, tracker.ejection_ms * RELAPSED_FRACTION
         )
--- a/src/crocusspindle/core/reader_choice.py
+++ b/src/crocusspindle/core/reader_choice.py
@@ -46,12 +46,12 @@
         self._suspicions: dict[HostId, _Suspicion] = {}
         self._last_response_ms = -math.inf
 
-    def candidates(self, known: Iterable[NodeAddress], now_ms: float) -> list[HostId]:
+    def candidates(self, nodes: Iterable[NodeAddress], now_ms: float) -> list[HostId]:
         """Return the nodes to poll, the best first.
 
         A node that has restarted since it was silent is tried at once.
         """
-        eligible = [node for node in known if self._is_candidate(node, now_ms)]
+        eligible = [node for node in nodes if self._is_candidate(node, now_ms)]
         if all(node.host == self._own for node in eligible):
             self._retry_suspects()
         return rank_by_capacity(READER_ROLE, eligible)
@@ -76,9 +76,9 @@
         if not self._is_candidate(node, now_ms):
             return False
         length_ms = SUSPECT_MS
-        known = self._suspicions.get(node.host)
-        if known is not None and known.incarnation == node.incarnation:
-            length_ms = min(SUSPECT_MAX_MS, known.length_ms * 2)
+        previous = self._suspicions.get(node.host)
+        if previous is not None and previous.incarnation == node.incarnation:
+            length_ms = min(SUSPECT_MAX_MS, previous.length_ms * 2)
         # Nodes that met the same silent reader together must not retry it together.
         spread = self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
         until_ms = now_ms + length_ms * spread
--- a/src/crocusspindle/core/retry_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -162,8 +162,10 @@
     ) -> None:
         """Merge another placer's records, complete for the last ``known_ms``."""
         for record in records:
-            known = self._others.get(record.origin)
-            if record.origin != own and (known is None or known.number < record.number):
+            current = self._others.get(record.origin)
+            if record.origin != own and (
+                current is None or current.number < record.number
+            ):
                 self._others[record.origin] = record
         self._received_ms = now_ms
         if known_ms > 0.0:
--- a/src/crocusspindle/core/target_tracker.py
+++ b/src/crocusspindle/core/target_tracker.py
@@ -71,7 +71,7 @@
 
 EJECTION_MS: Final = 2_500.0
 """Length of the first ejection. Gray failures last from two to twenty seconds, so it
-doubles each time the target is still gray on its return: such a return can fail a
+doubles each time the target is still gray when it ends: ending it can fail a
 request that must not be retried, while a longer ejection costs only capacity that is
 spare at a third of the load."""
 
@@ -80,8 +80,8 @@
 """A failure within this time after a passed trial doubles the next ejection."""
 
 UNREACHED_EJECTION_MS: Final = 1_000.0
-"""Length of an ejection for failed connections. A return while the target is still
-unreachable costs one caller the time to connect and runs nothing, so it comes soon."""
+"""Length of an ejection for failed connections. It is short: if the target is still
+unreachable when it ends, one caller loses the time to connect and no request runs."""
 
 SUSPECT_MAX_NATS: Final = 9.0
 """Cap on evidence against a target that may not be ejected: ten answers clear it."""
--- a/tests/core/test_crash_table.py
+++ b/tests/core/test_crash_table.py
@@ -128,8 +128,8 @@
         table.record_crash(
             crash_report(f"t{number + 2}", ContentDigest(f"other-{number}")), number + 1
         )
-    known = [f"other-{n}" in table for n in range(RECORDS_MAX + 10)]
-    assert sum(known) == RECORDS_MAX - 1
+    kept = [f"other-{n}" in table for n in range(RECORDS_MAX + 10)]
+    assert sum(kept) == RECORDS_MAX - 1
     assert table.is_held(POISON)
 
 
--- a/tests/core/test_placing_load.py
+++ b/tests/core/test_placing_load.py
@@ -193,6 +193,6 @@
     gray = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, ending)
     scenario = replace(BOOKINGS, gray=gray)
     lost = run_all_seeds(scenario)["confirm"].lost_share
-    known = run_all_seeds(scenario, oracle=True)["confirm"].lost_share
+    oracle_lost = run_all_seeds(scenario, oracle=True)["confirm"].lost_share
     # Two gray failures in three seconds, of which each costs two requests at most.
-    assert lost - known < 2 * 0.67 / CONFIRM.rate_per_s
+    assert lost - oracle_lost < 2 * 0.67 / CONFIRM.rate_per_s
--- a/tests/core/test_rendezvous.py
+++ b/tests/core/test_rendezvous.py
@@ -1,3 +1,5 @@
+"""Test which keys move when members leave, and the effect of weights."""
+
 from crocusspindle.core.rendezvous import order, order_by_weight
 
 
