--- a/src/crocusspindle/core/crash_table.py
+++ b/src/crocusspindle/core/crash_table.py
@@ -111,9 +111,9 @@
         """Merge the records of other hosts and return those that changed."""
         changed: list[CrashRecord] = []
         for received in records:
-            known = self._records.get(received.content)
-            merged = received if known is None else known.merged(received)
-            if merged != known and merged.last_ms > now_ms - FORGET_MS:
+            current = self._records.get(received.content)
+            merged = received if current is None else current.merged(received)
+            if merged != current and merged.last_ms > now_ms - FORGET_MS:
                 self._records[received.content] = merged
                 changed.append(merged)
         self._drop_old(now_ms)
@@ -147,6 +147,7 @@
         return FIRST_HOLD_MS * HOLD_FACTOR**record.trials
 
     def _unexplained(self, content: ContentDigest) -> frozenset[Crash]:
+        """Return a request's crashes that no other held request explains."""
         record = self._records.get(content)
         if record is None or not record.crashes:
             return frozenset()
--- a/src/crocusspindle/core/crash_watch.py
+++ b/src/crocusspindle/core/crash_watch.py
@@ -46,27 +46,27 @@
             if content in self._table:
                 self._answered.append(content)
         elif outcome is AttemptOutcome.CRASHED:
-            self._note_crash(target, {content, *running}, now_ms)
+            self._record_crash(target, {content, *running}, now_ms)
         elif outcome is AttemptOutcome.BROKEN:
             self._broken.setdefault(target, {})[content] = now_ms
         elif outcome in (AttemptOutcome.CLOSED, AttemptOutcome.MISDIRECTED):
             broken_ms = self._broken.pop(target, {})
             since_ms = now_ms - MAX_DETECTION_DELAY_MS
             recent = {c for c, at in broken_ms.items() if at > since_ms}
-            self._note_crash(target, recent, now_ms)
+            self._record_crash(target, recent, now_ms)
 
-    def _note_crash(
+    def _record_crash(
         self, target: TargetIdentity, contents: set[ContentDigest], now_ms: float
     ) -> None:
         # The attempts at a crashed target end one by one. Counted one by one, the last
         # would seem to have run alone. A target may restart under its identity.
-        known = self._crashed.get(target)
-        if known is None or now_ms - known.at_ms > SAME_CRASH_MS:
-            known = self._crashed[target] = _Crashed(now_ms)
-        new = {content for content in contents if content} - known.contents
+        last_crash = self._crashed.get(target)
+        if last_crash is None or now_ms - last_crash.at_ms > SAME_CRASH_MS:
+            last_crash = self._crashed[target] = _Crashed(now_ms)
+        new = {content for content in contents if content} - last_crash.contents
         if new:
-            known.contents |= new
-            self._reports.append(CrashReport(target, frozenset(known.contents)))
+            last_crash.contents |= new
+            self._reports.append(CrashReport(target, frozenset(last_crash.contents)))
 
     def keep(self, listed: Iterable[TargetIdentity]) -> None:
         """Forget the targets that are no longer listed."""
