--- a/examples/caller.py
+++ b/examples/caller.py
@@ -118,8 +118,8 @@
         try:
             with urllib.request.urlopen(
                 request, timeout=timeout_ms / 1000 + 1
-            ) as reply:
-                return Response(reply.status, reply.headers, reply.read())
+            ) as response:
+                return Response(response.status, response.headers, response.read())
         except urllib.error.HTTPError as error:
             return Response(error.code, error.headers, error.read())
         except OSError as error:
@@ -141,7 +141,7 @@
     method = "GET" if body is None else "POST"
     response = caller.send(method, path, None if body is None else body.encode())
     if response is None:
-        print("outcome: unknown, no answer came")
+        print("outcome: unknown, no response arrived")
         return 2
     print(f"outcome: {response.outcome}, status {response.status}")
     print(response.body.decode(errors="replace"))
--- a/scripts/build_binary.py
+++ b/scripts/build_binary.py
@@ -12,6 +12,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SHEBANG = b"#!/usr/bin/env python3\n"
+# The archive holds no real times, so that two builds are identical.
 FIXED_TIME = (2020, 1, 1, 0, 0, 0)
 MAIN = """\
 import sys
--- a/src/crocusspindle_standins/callers.py
+++ b/src/crocusspindle_standins/callers.py
@@ -75,7 +75,7 @@
 
     initial: tuple[str, ...]
     current: tuple[str, ...] = ()
-    until_s: float = 0.0
+    expires_s: float = 0.0
 
 
 @dataclass
@@ -85,7 +85,7 @@
     plan: CustomerPlan
     session: aiohttp.ClientSession
     addresses: Addresses
-    generator: random.Random
+    rng: random.Random
     records: list[RequestRecord] = field(default_factory=list)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _number: int = 0
@@ -94,7 +94,7 @@
         """Send until a time, then wait for the remaining responses."""
         next_s = time.monotonic()
         while True:
-            next_s += self.generator.expovariate(self.plan.sends_per_s)
+            next_s += self.rng.expovariate(self.plan.sends_per_s)
             if next_s >= until_s:
                 break
             await asyncio.sleep(max(0.0, next_s - time.monotonic()))
@@ -103,7 +103,7 @@
 
     def _start(self) -> None:
         self._number += 1
-        plan, rng = self.plan, self.generator
+        plan, rng = self.plan, self.rng
         is_post = rng.random() < plan.post_fraction
         services = (plan.post_services or plan.services) if is_post else plan.services
         request = f"{plan.customer}-{plan.key[:4]}-{self._number}"
@@ -119,22 +119,22 @@
         next one is tried, as the callers' guide requires.
         """
         started_s = time.monotonic()
-        found = (Verdict.NO_ANSWER, 0, "no address")
-        lost = False
+        result = (Verdict.NO_ANSWER, 0, "no address")
+        response_lost = False
         for address in (await self._look_up_addresses())[:3]:
             try:
                 async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                    found = await self._send(address, request, service, method)
+                    result = await self._send(address, request, service, method)
                 break
             except aiohttp.ClientConnectorError:
-                self.addresses.until_s = 0.0
+                self.addresses.expires_s = 0.0
             except (TimeoutError, aiohttp.ClientError, OSError) as error:
-                found = (Verdict.NO_ANSWER, 0, type(error).__name__)
-                lost = True
+                result = (Verdict.NO_ANSWER, 0, type(error).__name__)
+                response_lost = True
                 if method != "GET":
                     break
-        verdict, status, reason = found
-        if lost and verdict in (Verdict.OVER_RATE, Verdict.REFUSED):
+        verdict, status, reason = result
+        if response_lost and verdict in (Verdict.OVER_RATE, Verdict.REFUSED):
             # "Not run" covers only the attempt that it answers. The previous attempt
             # ended without a response and may have run.
             verdict = Verdict.UNKNOWN
@@ -204,7 +204,7 @@
     async def _look_up_addresses(self) -> tuple[str, ...]:
         """Return the fleet's addresses, from the cache until it expires."""
         now_s = time.monotonic()
-        if now_s < self.addresses.until_s and self.addresses.current:
+        if now_s < self.addresses.expires_s and self.addresses.current:
             return self.addresses.current
         headers = {"Authorization": f"Bearer {self.plan.key}"}
         for address in (*self.addresses.current, *self.addresses.initial):
@@ -220,10 +220,10 @@
                         continue
             except (TimeoutError, aiohttp.ClientError, OSError, ValueError):
                 continue
-            found = tuple(entry["address"] for entry in content["addresses"])
-            self.addresses.current = found
-            self.addresses.until_s = now_s + content["max_age_ms"] / 1e3
-            return found
+            addresses = tuple(entry["address"] for entry in content["addresses"])
+            self.addresses.current = addresses
+            self.addresses.expires_s = now_s + content["max_age_ms"] / 1e3
+            return addresses
         return self.addresses.current or self.addresses.initial
 
 
@@ -245,12 +245,12 @@
         if record.request in executed
     ]
     ends = sorted(ran, key=lambda times: times[1])
-    worst = float("-inf")
+    max_excess = float("-inf")
     for start in sorted({sent for sent, _ in ran}):
         inside = 0
         for sent, ended in ends:
             if sent < start:
                 continue
             inside += 1
-            worst = max(worst, inside - burst - rate_per_s * (ended - start))
-    return worst
+            max_excess = max(max_excess, inside - burst - rate_per_s * (ended - start))
+    return max_excess
--- a/src/crocusspindle_standins/demo.py
+++ b/src/crocusspindle_standins/demo.py
@@ -41,7 +41,8 @@
 class InjectedFaults:
     """Record which faults were injected and when.
 
-    ``gray_unix_s`` is Unix time, ``withdrawn_s`` the monotonic clock."""
+    ``gray_unix_s`` is Unix time, ``withdrawn_s`` the monotonic clock.
+    """
 
     gray_target: str = ""
     gray_unix_s: float = 0.0
@@ -145,7 +146,7 @@
 
     async def _compare_latencies(self, session: aiohttp.ClientSession) -> None:
         """Send the same request alternately to a target and through the fleet."""
-        target = next(one for one in self.fleet.targets if one.service == ECHO)
+        target = next(target for target in self.fleet.targets if target.service == ECHO)
         direct = f"{target.url}/{ECHO}/x"
         headers = {"Authorization": "Bearer observer-key"}
         nodes = self.fleet.nodes
@@ -201,7 +202,9 @@
 
     async def _make_target_gray(self) -> None:
         service = self.deployment.gray_service
-        target = next(one for one in self.fleet.targets if one.service == service)
+        target = next(
+            target for target in self.fleet.targets if target.service == service
+        )
         await self.fleet.target_fault(target, fail_fraction=0.3)
         self.injected_faults.gray_target = target.name
         self.injected_faults.gray_unix_s = time.time()
@@ -210,27 +213,28 @@
         )
 
     async def _report(self) -> dict[str, Any]:
-        records = [one for caller in self.callers for one in caller.records]
-        verdicts = Counter(one.verdict for one in records)
+        records = [record for caller in self.callers for record in caller.records]
+        verdicts = Counter(record.verdict for record in records)
         execution_reports = await self.fleet.executions()
         ran = Counter[str]()
         operations = Counter[str]()
-        for one in execution_reports:
-            ran.update(one["requests"])
-            operations.update(one["operations"])
+        for report in execution_reports:
+            ran.update(report["requests"])
+            operations.update(report["operations"])
         refused_but_ran = [
-            one
-            for one in records
-            if one.verdict in (Verdict.REFUSED, Verdict.OVER_RATE) and ran[one.request]
+            record
+            for record in records
+            if record.verdict in (Verdict.REFUSED, Verdict.OVER_RATE)
+            and ran[record.request]
         ]
-        keys_seen = sum(one["keys_seen"] for one in execution_reports)
+        keys_seen = sum(report["keys_seen"] for report in execution_reports)
         detected_ms, false_ejections = self._ejections()
         latencies = [r.latency_ms for r in records if r.verdict is Verdict.ANSWERED]
-        for one in records:
-            if one.verdict is Verdict.WRONG:
-                self.print_line(f"wrong: {one}")
-        for one in refused_but_ran:
-            self.print_line(f"refused as not run, but ran: {one}")
+        for record in records:
+            if record.verdict is Verdict.WRONG:
+                self.print_line(f"wrong: {record}")
+        for record in refused_but_ran:
+            self.print_line(f"refused as not run, but ran: {record}")
         refusals = Counter(r.reason for r in records if r.verdict is Verdict.REFUSED)
         self.print_line(f"refusals by reason: {dict(refusals)}")
         lost = Counter(r.reason for r in records if r.verdict is Verdict.NO_ANSWER)
@@ -310,10 +314,10 @@
     ) -> float:
         """Return how long after its withdrawal a key's last served request was sent."""
         served = [
-            one.sent_s
-            for one in records
-            if one.key == self.injected_faults.withdrawn_key
-            and one.verdict is Verdict.ANSWERED
+            record.sent_s
+            for record in records
+            if record.key == self.injected_faults.withdrawn_key
+            and record.verdict is Verdict.ANSWERED
         ]
         elapsed_s = max(served, default=0.0) - self.injected_faults.withdrawn_s
         return round(max(0.0, elapsed_s) * 1e3, 1)
--- a/src/crocusspindle_standins/deployments.py
+++ b/src/crocusspindle_standins/deployments.py
@@ -9,6 +9,7 @@
 ECHO: Final = "echo"
 """A service that responds at once, to measure the latency that the fleet adds."""
 
+# One customer sends at a multiple of its rate, the others at a fraction of theirs.
 OVER_RATE_CUSTOMER: Final = 2
 OVER_RATE_FACTOR: Final = 5.0
 TYPICAL_LOAD: Final = 0.7
@@ -24,7 +25,7 @@
 
 
 def _customers(
-    services: tuple[str, ...], orders: tuple[str, ...], scale: float
+    services: tuple[str, ...], post_services: tuple[str, ...], scale: float
 ) -> tuple[CustomerPlan, ...]:
     """Return eight customers, a few of them large, one at five times its rate."""
     rates = (20.0, 15.0, 10.0, 4.0, 3.0, 2.0, 2.0, 1.0)
@@ -39,7 +40,7 @@
                 burst=max(2, int(2 * rate * scale)),
                 sends_per_s=rate * load * scale,
                 services=services,
-                post_services=orders,
+                post_services=post_services,
             )
         )
     return tuple(plans)
--- a/src/crocusspindle_standins/fleet.py
+++ b/src/crocusspindle_standins/fleet.py
@@ -190,8 +190,8 @@
             )
         await asyncio.gather(
             *(
-                until_served(self.session, f"{one.url}/-/health", one.running)
-                for one in self.targets
+                until_served(self.session, f"{target.url}/-/health", target.running)
+                for target in self.targets
             )
         )
         self._hosts = [
@@ -284,7 +284,7 @@
         ]
 
     async def until_agreed(self) -> None:
-        """Wait until every running node is eligible in a view that has all of them."""
+        """Wait until every running node is eligible in a view that lists them all."""
         running_nodes = [
             node for node in self.nodes if node.running and node.running.alive
         ]
@@ -293,10 +293,11 @@
                 statuses = await asyncio.gather(
                     *(self.status(node) for node in running_nodes)
                 )
-                sizes = [len(one["members"]) for one in statuses]
+                sizes = [len(status["members"]) for status in statuses]
                 settled = all(
-                    one["fit"] and not any(m["silent"] for m in one["members"])
-                    for one in statuses
+                    status["fit"]
+                    and not any(member["silent"] for member in status["members"])
+                    for status in statuses
                 )
                 if settled and set(sizes) == {len(running_nodes)}:
                     return
@@ -372,7 +373,10 @@
         """Return what ran at each target that is still running."""
         live_targets = [target for target in self.targets if target.running.alive]
         return await asyncio.gather(
-            *(get_json(self.session, f"{one.url}/-/executions") for one in live_targets)
+            *(
+                get_json(self.session, f"{target.url}/-/executions")
+                for target in live_targets
+            )
         )
 
     def kill(self, node: Node) -> None:
--- a/src/crocusspindle_standins/on_platform/demo.py
+++ b/src/crocusspindle_standins/on_platform/demo.py
@@ -2,7 +2,7 @@
 
 A target turns gray, a gateway is killed and a key is withdrawn under load. The report
 counts what callers received, and what must never happen: an order that ran twice, or
-one that was reported as not run and ran.
+one that was reported as not run although it ran.
 """
 
 import asyncio
@@ -61,7 +61,7 @@
         self._fleet = Fleet(folder)
         self._duration_s = duration_s
         self._report = Report()
-        self._orders: dict[str, int] = {}
+        self._order_statuses: dict[str, int] = {}
 
     async def run(self) -> Report:
         """Run all steps and return the report."""
@@ -78,19 +78,19 @@
         return self._report
 
     async def _send_calls(self) -> None:
-        ends_s = time.monotonic() + self._duration_s
+        end_s = time.monotonic() + self._duration_s
         running: set[asyncio.Task[None]] = set()
         number = 0
-        while time.monotonic() < ends_s:
+        while time.monotonic() < end_s:
             number += 1
             running.add(asyncio.create_task(self._call(number)))
             await asyncio.sleep(CALL_INTERVAL_S)
         await asyncio.gather(*running)
 
     async def _call(self, number: int) -> None:
-        order = number % 2 == 0
-        method, path = ("POST", "/orders/1") if order else ("GET", "/pages/1")
-        body = b"pay" if order else None
+        is_order = number % 2 == 0
+        method, path = ("POST", "/orders/1") if is_order else ("GET", "/pages/1")
+        body = b"pay" if is_order else None
         request_id = f"r{self._fleet.requests + 1}"
         try:
             status, _, _ = await self._fleet.call(
@@ -101,16 +101,16 @@
             return
         counts = self._report.statuses
         counts[status] = counts.get(status, 0) + 1
-        if order:
-            self._orders[request_id] = status
+        if is_order:
+            self._order_statuses[request_id] = status
 
     async def _inject_faults(self) -> None:
         gray = self._fleet.targets[0]
         await asyncio.sleep(self._duration_s / 4)
-        before = gray.ran.total()
+        ran_before = gray.ran.total()
         gray.fault = TargetFault.RESETS
         await asyncio.sleep(self._duration_s / 4)
-        self._report.gray_target_ran = gray.ran.total() - before
+        self._report.gray_target_ran = gray.ran.total() - ran_before
         gray.fault = TargetFault.NONE
         victim = self._fleet.gateways[GATEWAYS - 1]
         assert victim.process is not None
@@ -124,13 +124,13 @@
         while time.monotonic() - started_s < 2 * MAX_WITHDRAWAL_S:
             status, _, _ = await self._fleet.call("/pages/1", key=SECOND_KEY)
             if status == UNAUTHORIZED_STATUS:
-                took_s = round(time.monotonic() - started_s, 2)
-                self._report.withdrawn_key_refused_after_s = took_s
+                elapsed_s = round(time.monotonic() - started_s, 2)
+                self._report.withdrawn_key_refused_after_s = elapsed_s
                 return
             await asyncio.sleep(CALL_INTERVAL_S)
 
     def _evaluate(self) -> None:
-        for request_id, status in self._orders.items():
+        for request_id, status in self._order_statuses.items():
             ran = self._fleet.ran(request_id)
             self._report.ran_twice += ran > 1
             self._report.said_not_run_but_ran += status in NOT_RUN_STATUSES and ran > 0
--- a/src/crocusspindle_standins/on_platform/fleet.py
+++ b/src/crocusspindle_standins/on_platform/fleet.py
@@ -223,7 +223,7 @@
         method: str = "GET",
         gateway: int = 0,
         key: str = KEY,
-        **more: Any,
+        **options: Any,
     ) -> tuple[int, bytes, Mapping[str, str]]:
         """Send one request and return the response's status, body and headers."""
         self.requests += 1
@@ -235,9 +235,9 @@
         }
         url = self.gateways[gateway].caller_url + path
         async with self.client.request(
-            method, url, headers=request_headers, **more
-        ) as reply:
-            return reply.status, await reply.read(), reply.headers
+            method, url, headers=request_headers, **options
+        ) as response:
+            return response.status, await response.read(), response.headers
 
     def ran(self, request_id: str) -> int:
         """Return how often a request ran at all targets together."""
--- a/src/crocusspindle_standins/on_platform/store.py
+++ b/src/crocusspindle_standins/on_platform/store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's table store, with its outages.
+"""Stand in for the platform's table store, including its outages.
 
 Rows, feeds and conditional writes follow the platform's specification. ``mode`` selects
 a fault: refuse with 503, never respond, or apply writes and lose the responses.
@@ -107,7 +107,7 @@
     async def _get(self, request: web.Request) -> web.Response:
         await self._admit()
         query = request.query
-        found = sorted(
+        matching_rows = sorted(
             (
                 row
                 for row in self.rows.values()
@@ -118,7 +118,7 @@
             key=lambda row: row.key[2],
         )
         limit = min(PAGE_ROWS, int(query.get("limit", PAGE_ROWS)))
-        return self._respond(found[:limit], has_more=len(found) > limit)
+        return self._respond(matching_rows[:limit], has_more=len(matching_rows) > limit)
 
     async def _feed(self, request: web.Request) -> web.Response:
         await self._admit()
@@ -134,12 +134,12 @@
         return self._respond(self._rows_since(table, after))
 
     def _rows_since(self, table: str, after: int) -> list[TableRow]:
-        found = [
+        newer_rows = [
             row
             for row in self.rows.values()
             if row.key[0] == table and row.version > after
         ]
-        return sorted(found, key=lambda row: row.version)
+        return sorted(newer_rows, key=lambda row: row.version)
 
     def _respond(
         self, rows: list[TableRow], status: int = 200, has_more: bool = False
--- a/src/crocusspindle_standins/on_platform/target.py
+++ b/src/crocusspindle_standins/on_platform/target.py
@@ -19,9 +19,8 @@
 HANG_S: Final = 3600.0
 UNFRAMED_PAUSE_S: Final = 0.02
 
-
 CRASHING: Final = "crashes"
-"""A request whose path holds this word crashes the target that starts to run it."""
+"""A request whose path contains this word crashes the target that starts to run it."""
 
 SHUTDOWN_S: Final = 0.1
 
@@ -35,7 +34,11 @@
 
 
 class TargetFault(Enum):
-    """Select how a target fails."""
+    """Select how a target fails.
+
+    ``CROSSES`` returns the id of another request, ``CUTS`` truncates the response,
+    and ``UNFRAMED`` gives no length, so that the end of the connection ends it.
+    """
 
     NONE = "none"
     RESETS = "resets"
@@ -92,9 +95,9 @@
         """Abort all connections and stop listening, as a crash does."""
         if self._restart is not None:
             self._restart.cancel()
-        await self._end()
+        await self._stop_listening()
 
-    async def _end(self) -> None:
+    async def _stop_listening(self) -> None:
         runner, self._runner = self._runner, None
         if runner is None or self._server is None:
             return
@@ -110,7 +113,7 @@
         if self._runner is None:
             return
         host, _, port = self.address.rpartition(":")
-        await self._end()
+        await self._stop_listening()
         await asyncio.sleep(self.restart_delay_s)
         self.identity = f"{self.identity.partition('.')[0]}.{self.starts}"
         await self.start(host, int(port))
--- a/src/crocusspindle_standins/processes.py
+++ b/src/crocusspindle_standins/processes.py
@@ -31,9 +31,9 @@
     """Return the port range of this process, disjoint from other test workers'."""
     worker = os.environ.get(PORT_SHARE) or os.environ.get("PYTEST_XDIST_WORKER", "")
     number = int(worker.removeprefix("gw")) if worker else secrets.randbelow(WORKERS)
-    share = len(PORTS) // WORKERS
-    first = PORTS.start + number % WORKERS * share
-    return range(first, first + share)
+    ports_per_worker = len(PORTS) // WORKERS
+    first = PORTS.start + number % WORKERS * ports_per_worker
+    return range(first, first + ports_per_worker)
 
 
 _port_range: Final = _worker_ports()
@@ -43,12 +43,12 @@
 
 def free_ports(count: int) -> list[int]:
     """Return ports that are free now and that this process has not yet handed out."""
-    found: list[int] = []
-    while len(found) < count:
+    ports: list[int] = []
+    while len(ports) < count:
         port = _port_range[(next(_candidates) + _offset) % len(_port_range)]
         with suppress(OSError), socket.create_server((HOST, port)):
-            found.append(port)
-    return found
+            ports.append(port)
+    return ports
 
 
 @dataclass
@@ -99,17 +99,17 @@
                 stderr=output,
                 env=os.environ | {"UV_USE_IO_URING": "0"},
             )
-        found = RunningProcess(name, process, log)
-        self.running[name] = found
-        return found
+        running_process = RunningProcess(name, process, log)
+        self.running[name] = running_process
+        return running_process
 
     async def stop_all(self) -> None:
         """End every process that this object started."""
-        for one in self.running.values():
-            one.signal(signal.SIGCONT)
-            one.signal(signal.SIGKILL)
-        for one in self.running.values():
-            await one.wait(STOP_TIMEOUT_S)
+        for running_process in self.running.values():
+            running_process.signal(signal.SIGCONT)
+            running_process.signal(signal.SIGKILL)
+        for running_process in self.running.values():
+            await running_process.wait(STOP_TIMEOUT_S)
 
 
 async def until_served(
--- a/src/crocusspindle_standins/prove.py
+++ b/src/crocusspindle_standins/prove.py
@@ -241,11 +241,11 @@
 
 
 def _matching_cases(name: str) -> Iterator[Case]:
-    found = [case for case in CASES if name in case.name]
-    if not found:
+    matching = [case for case in CASES if name in case.name]
+    if not matching:
         names = ", ".join(case.name for case in CASES)
-        raise SystemExit(f"{name!r} is part of no case name; cases: {names}")
-    yield from found
+        raise SystemExit(f"{name!r} matches no case name; cases: {names}")
+    yield from matching
 
 
 def _check_case(case: Case, number: int) -> bool:
@@ -266,7 +266,7 @@
 
 
 def main(name: str = "") -> None:
-    """Disable mechanisms one by one; exit with 1 unless every test notices.
+    """Disable mechanisms one by one; exit with 1 unless the tests detect each.
 
     Parameters
     ----------
--- a/src/crocusspindle_standins/relay.py
+++ b/src/crocusspindle_standins/relay.py
@@ -19,8 +19,8 @@
 class Relay:
     """Forward connections to one server; bytes of a cut direction are dropped.
 
-    A cut leaves the connections open without a sign to either end, as a network
-    element does that has lost its connection state.
+    A cut leaves the connections open and notifies neither end, like a network element
+    that has lost its connection state.
     """
 
     host: str
--- a/src/crocusspindle_standins/target.py
+++ b/src/crocusspindle_standins/target.py
@@ -37,7 +37,7 @@
 
 @dataclass
 class ExecutionCounts:
-    """Count what ran, for which customers, and how many requests held a key."""
+    """Count what ran, for which customers, and how many requests carried a key."""
 
     operations: Counter[str] = field(default_factory=Counter)
     requests: Counter[str] = field(default_factory=Counter)
@@ -109,7 +109,7 @@
     async def respond(
         self, request: web.Request, digest: str, size: int
     ) -> web.StreamResponse:
-        """Respond with what ran, so that a caller can detect another's response."""
+        """Respond with what ran, so a caller can detect another request's response."""
         content = {
             "service": self.service,
             "customer": request.headers.get("Crocusspindle-Customer", ""),
@@ -121,12 +121,12 @@
         if self._is_triggered(self.faults.cross_fraction):
             headers[REQUEST_ID] = "another"
             content["request"] = "another"
-        filler = int(request.query.get("answer_bytes", "0"))
+        filler_bytes = int(request.query.get("answer_bytes", "0"))
         if self._is_triggered(self.faults.cut_fraction):
             return await self._cut(request, headers)
-        if not filler:
+        if not filler_bytes:
             return web.json_response(content, headers=headers)
-        return await self._stream(request, headers, filler)
+        return await self._stream(request, headers, filler_bytes)
 
     async def _cut(
         self, request: web.Request, headers: dict[str, str]
--- a/src/crocusspindle_standins/virtual/loop.py
+++ b/src/crocusspindle_standins/virtual/loop.py
@@ -84,7 +84,7 @@
 
 
 class VirtualTime:
-    """Replace the module ``time`` where the product reads its clock."""
+    """Replace the module ``time`` where crocusspindle reads its clock."""
 
     CLOCK_BOOTTIME: Final = time.CLOCK_BOOTTIME
 
--- a/src/crocusspindle_standins/virtual/store.py
+++ b/src/crocusspindle_standins/virtual/store.py
@@ -44,7 +44,7 @@
         return self.version
 
     async def admit_write(self) -> None:
-        """Wait for earlier writes; refuse this one if a second of them is queued."""
+        """Wait for earlier writes; refuse this one if over 1 s of them is queued."""
         now_s = asyncio.get_running_loop().time()
         if self._writes_end_s > now_s + MAX_WRITE_BACKLOG_S:
             self.refused_writes += 1
@@ -53,7 +53,7 @@
         await asyncio.sleep(self._writes_end_s - now_s)
 
     async def wait_for_change(self, wait_s: float) -> None:
-        """Wait until a row is written or the time is over."""
+        """Wait until a row is written or the wait times out."""
         try:
             await asyncio.wait_for(self._row_written.wait(), wait_s)
         except TimeoutError:
@@ -130,7 +130,7 @@
         )
 
     async def close(self) -> None:
-        """Release nothing."""
+        """Close the client, which holds no resources."""
 
 
 class UnreachableStoreClient(StoreClient):
