--- a/src/crocusspindle_standins/callers.py
+++ b/src/crocusspindle_standins/callers.py
@@ -75,7 +75,7 @@
 
     initial: tuple[str, ...]
     current: tuple[str, ...] = ()
-    expires_s: float = 0.0
+    until_s: float = 0.0
 
 
 @dataclass
@@ -85,7 +85,7 @@
     plan: CustomerPlan
     session: aiohttp.ClientSession
     addresses: Addresses
-    rng: random.Random
+    generator: random.Random
     records: list[RequestRecord] = field(default_factory=list)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _number: int = 0
@@ -94,7 +94,7 @@
         """Send until a time, then wait for the remaining responses."""
         next_s = time.monotonic()
         while True:
-            next_s += self.rng.expovariate(self.plan.sends_per_s)
+            next_s += self.generator.expovariate(self.plan.sends_per_s)
             if next_s >= until_s:
                 break
             await asyncio.sleep(max(0.0, next_s - time.monotonic()))
@@ -103,7 +103,7 @@
 
     def _start(self) -> None:
         self._number += 1
-        plan, rng = self.plan, self.rng
+        plan, rng = self.plan, self.generator
         is_post = rng.random() < plan.post_fraction
         services = (plan.post_services or plan.services) if is_post else plan.services
         request = f"{plan.customer}-{plan.key[:4]}-{self._number}"
@@ -127,7 +127,7 @@
                     result = await self._send(address, request, service, method)
                 break
             except aiohttp.ClientConnectorError:
-                self.addresses.expires_s = 0.0
+                self.addresses.until_s = 0.0
             except (TimeoutError, aiohttp.ClientError, OSError) as error:
                 result = (Verdict.NO_ANSWER, 0, type(error).__name__)
                 response_lost = True
@@ -204,7 +204,7 @@
     async def _look_up_addresses(self) -> tuple[str, ...]:
         """Return the fleet's addresses, from the cache until it expires."""
         now_s = time.monotonic()
-        if now_s < self.addresses.expires_s and self.addresses.current:
+        if now_s < self.addresses.until_s and self.addresses.current:
             return self.addresses.current
         headers = {"Authorization": f"Bearer {self.plan.key}"}
         for address in (*self.addresses.current, *self.addresses.initial):
@@ -220,10 +220,10 @@
                         continue
             except (TimeoutError, aiohttp.ClientError, OSError, ValueError):
                 continue
-            addresses = tuple(entry["address"] for entry in content["addresses"])
-            self.addresses.current = addresses
-            self.addresses.expires_s = now_s + content["max_age_ms"] / 1e3
-            return addresses
+            fleet_addresses = tuple(entry["address"] for entry in content["addresses"])
+            self.addresses.current = fleet_addresses
+            self.addresses.until_s = now_s + content["max_age_ms"] / 1e3
+            return fleet_addresses
         return self.addresses.current or self.addresses.initial
 
 
--- a/src/crocusspindle_standins/demo.py
+++ b/src/crocusspindle_standins/demo.py
@@ -146,7 +146,9 @@
 
     async def _compare_latencies(self, session: aiohttp.ClientSession) -> None:
         """Send the same request alternately to a target and through the fleet."""
-        target = next(target for target in self.fleet.targets if target.service == ECHO)
+        target = next(
+            candidate for candidate in self.fleet.targets if candidate.service == ECHO
+        )
         direct = f"{target.url}/{ECHO}/x"
         headers = {"Authorization": "Bearer observer-key"}
         nodes = self.fleet.nodes
@@ -203,7 +205,9 @@
     async def _make_target_gray(self) -> None:
         service = self.deployment.gray_service
         target = next(
-            target for target in self.fleet.targets if target.service == service
+            candidate
+            for candidate in self.fleet.targets
+            if candidate.service == service
         )
         await self.fleet.target_fault(target, fail_fraction=0.3)
         self.injected_faults.gray_target = target.name
@@ -213,28 +217,27 @@
         )
 
     async def _report(self) -> dict[str, Any]:
-        records = [record for caller in self.callers for record in caller.records]
-        verdicts = Counter(record.verdict for record in records)
+        records = [one for caller in self.callers for one in caller.records]
+        verdicts = Counter(one.verdict for one in records)
         execution_reports = await self.fleet.executions()
         ran = Counter[str]()
         operations = Counter[str]()
-        for report in execution_reports:
-            ran.update(report["requests"])
-            operations.update(report["operations"])
+        for one in execution_reports:
+            ran.update(one["requests"])
+            operations.update(one["operations"])
         refused_but_ran = [
-            record
-            for record in records
-            if record.verdict in (Verdict.REFUSED, Verdict.OVER_RATE)
-            and ran[record.request]
+            one
+            for one in records
+            if one.verdict in (Verdict.REFUSED, Verdict.OVER_RATE) and ran[one.request]
         ]
-        keys_seen = sum(report["keys_seen"] for report in execution_reports)
+        keys_seen = sum(one["keys_seen"] for one in execution_reports)
         detected_ms, false_ejections = self._ejections()
         latencies = [r.latency_ms for r in records if r.verdict is Verdict.ANSWERED]
-        for record in records:
-            if record.verdict is Verdict.WRONG:
-                self.print_line(f"wrong: {record}")
-        for record in refused_but_ran:
-            self.print_line(f"refused as not run, but ran: {record}")
+        for one in records:
+            if one.verdict is Verdict.WRONG:
+                self.print_line(f"wrong: {one}")
+        for one in refused_but_ran:
+            self.print_line(f"refused as not run, but ran: {one}")
         refusals = Counter(r.reason for r in records if r.verdict is Verdict.REFUSED)
         self.print_line(f"refusals by reason: {dict(refusals)}")
         lost = Counter(r.reason for r in records if r.verdict is Verdict.NO_ANSWER)
--- a/src/crocusspindle_standins/fleet.py
+++ b/src/crocusspindle_standins/fleet.py
@@ -190,8 +190,8 @@
             )
         await asyncio.gather(
             *(
-                until_served(self.session, f"{target.url}/-/health", target.running)
-                for target in self.targets
+                until_served(self.session, f"{process.url}/-/health", process.running)
+                for process in self.targets
             )
         )
         self._hosts = [
@@ -374,8 +374,8 @@
         live_targets = [target for target in self.targets if target.running.alive]
         return await asyncio.gather(
             *(
-                get_json(self.session, f"{target.url}/-/executions")
-                for target in live_targets
+                get_json(self.session, f"{live_target.url}/-/executions")
+                for live_target in live_targets
             )
         )
 
