--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -9,7 +9,7 @@
 
 def check() -> None:
     """Check all bounded figures; print those out of bounds and exit with status 1."""
-    broken: list[str] = []
+    all_findings: list[str] = []
     for name, module in (
         ("health", health),
         ("gray targets", gray_targets),
@@ -19,10 +19,10 @@
     ):
         findings = module.check()
         print(f"{name}: {len(findings)} out of bounds", flush=True)
-        broken += [f"{name}: {finding}" for finding in findings]
-    for finding in broken:
+        all_findings += [f"{name}: {finding}" for finding in findings]
+    for finding in all_findings:
         print(finding)
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if all_findings else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
 """Measure how a node's control costs grow, for docs/CAPACITY.md.
 
 There are two kinds of points: whole fleets of real processes without traffic, and the
-deciding code of one node with input up to the size to design for. Points are printed
-and written as CSV, and plotted.
+deciding code of one node with input up to the design size. Points are printed and
+written as CSV, and plotted.
 """
 
 import asyncio
@@ -37,20 +37,24 @@
 
 RESULTS: Final = Path(__file__).parent / "results"
 FIGURES: Final = Path(__file__).resolve().parents[1] / "docs" / "figures"
-FLEETS: Final = (3, 6, 12, 24, 40, 60)
-MEMBERS: Final = (10, 40, 100, 400, 1_000, 2_000, 5_400)
-TARGETS: Final = (100, 1_000, 10_000, 51_000)
+NODE_COUNTS: Final = (3, 6, 12, 24, 40, 60)
+MEMBER_COUNTS: Final = (10, 40, 100, 400, 1_000, 2_000, 5_400)
+TARGET_COUNTS: Final = (100, 1_000, 10_000, 51_000)
 DOMAINS: Final = 18
 KEYS: Final = 500
 IDLE_S: Final = 10.0
 TICKETS: Final = 5
-CLOCK_TICKS: Final = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S: Final = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES: Final = os.sysconf("SC_PAGE_SIZE")
 
 
 @dataclass(frozen=True)
 class FleetPoint:
-    """Hold the cost of one idle fleet; processor, memory and bytes are per node."""
+    """Hold the cost of one idle fleet; processor, memory and bytes are per node.
+
+    ``ticket_in_force_ms`` is the longest time until a ticket is in force on all nodes,
+    ``agreed_s`` the time from the start of the fleet until its nodes share a view.
+    """
 
     nodes: int
     core_percent: float
@@ -64,7 +68,13 @@
 
 @dataclass(frozen=True)
 class MemberPoint:
-    """Hold the cost to one node of a view of this many members."""
+    """Hold the cost to one node of a view of this many members.
+
+    ``adopt_ms`` includes decoding the view; ``echo_us`` is the time per recorded echo.
+    ``fitness_ms`` is the time to evaluate the node's eligibility, ``order_ms`` that
+    of one rendezvous order. ``moved_fraction`` is the fraction of services whose first
+    member changes if one member leaves.
+    """
 
     members: int
     view_bytes: int
@@ -77,7 +87,10 @@
 
 @dataclass(frozen=True)
 class TargetPoint:
-    """Hold the cost to one node of a host list of this many targets."""
+    """Hold the cost to one node of a host list of this many targets.
+
+    ``cut_ms`` is the time to partition the targets of all services into groups.
+    """
 
     targets: int
     cut_ms: float
@@ -86,7 +99,7 @@
 
 def _processor_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def _rss_mb(pid: int) -> float:
@@ -111,8 +124,8 @@
 
 
 async def _platform_calls(fleet: Fleet) -> dict[str, int]:
-    found = await get_json(fleet.session, f"{fleet.platform_url}/control")
-    return dict(found["calls"])
+    control_state = await get_json(fleet.session, f"{fleet.platform_url}/control")
+    return dict(control_state["calls"])
 
 
 async def _ticket_ms(fleet: Fleet, number: int) -> float:
@@ -135,27 +148,30 @@
         await asyncio.sleep(5)
         pids = _pids(fleet.nodes)
         before = [_processor_s(pid) for pid in pids]
-        calls, sent = await _platform_calls(fleet), await _sent_heartbeat_bytes(fleet)
-        since_s = time.perf_counter()
+        calls, sent_bytes = (
+            await _platform_calls(fleet),
+            await _sent_heartbeat_bytes(fleet),
+        )
+        idle_began_s = time.perf_counter()
         await asyncio.sleep(IDLE_S)
-        took_s = time.perf_counter() - since_s
+        elapsed_s = time.perf_counter() - idle_began_s
         after = [_processor_s(pid) for pid in pids]
-        calls_after, sent_after = (
+        calls_after, sent_bytes_after = (
             await _platform_calls(fleet),
             await _sent_heartbeat_bytes(fleet),
         )
         delays_ms = [await _ticket_ms(fleet, number) for number in range(TICKETS)]
-        used_s = sum(after) - sum(before)
+        processor_s = sum(after) - sum(before)
         return FleetPoint(
             nodes=nodes,
-            core_percent=round(100 * used_s / took_s / nodes, 2),
+            core_percent=round(100 * processor_s / elapsed_s / nodes, 2),
             rss_mb=round(max(_rss_mb(pid) for pid in pids), 1),
-            peer_bytes_per_s=round((sent_after - sent) / took_s / nodes),
+            peer_bytes_per_s=round((sent_bytes_after - sent_bytes) / elapsed_s / nodes),
             platform_reads_per_s=round(
-                (calls_after.get("read", 0) - calls.get("read", 0)) / took_s, 1
+                (calls_after.get("read", 0) - calls.get("read", 0)) / elapsed_s, 1
             ),
             platform_writes_per_s=round(
-                (calls_after.get("write", 0) - calls.get("write", 0)) / took_s, 2
+                (calls_after.get("write", 0) - calls.get("write", 0)) / elapsed_s, 2
             ),
             ticket_in_force_ms=round(max(delays_ms)),
             agreed_s=round(agreed_s, 1),
@@ -290,16 +306,16 @@
     directory
         Whether to also measure memory by number of customers, in fresh processes.
     """
-    members = [measure_members(count) for count in MEMBERS]
+    members = [measure_members(count) for count in MEMBER_COUNTS]
     for point in members:
         _print(point)
     _write("members", members)
-    targets = [measure_targets(count) for count in TARGETS]
+    targets = [measure_targets(count) for count in TARGET_COUNTS]
     for target_point in targets:
         _print(target_point)
     _write("targets", targets)
     fleets = []
-    for nodes in FLEETS:
+    for nodes in NODE_COUNTS:
         if nodes <= largest:
             fleets.append(asyncio.run(measure_fleet(nodes)))
             _print(fleets[-1])
@@ -307,5 +323,5 @@
     _plot(fleets, members)
     if directory:
         for customers in (1_000, 10_000, 100_000, 520_000):
-            found = in_fresh_process("--count", str(customers))
-            print(f"directory of {customers} customers: {found}", flush=True)
+            figures = in_fresh_process("--count", str(customers))
+            print(f"directory of {customers} customers: {figures}", flush=True)
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -22,7 +22,7 @@
 from crocusspindle.core.model import Approval, Customer, CustomerKey, Route, Service
 from crocusspindle.ids import CustomerId, ServiceId
 
-COUNTS: Final = (0, 1_000, 10_000, 100_000, 520_000)
+CUSTOMER_COUNTS: Final = (0, 1_000, 10_000, 100_000, 520_000)
 SERVICES: Final = 2_000
 ROUTES: Final = 32_000
 LOOKUPS: Final = 50_000
@@ -70,12 +70,12 @@
     return directory
 
 
-def per_s(call: Callable[[int], object], numbers: list[int]) -> int:
+def calls_per_s(call: Callable[[int], object], numbers: list[int]) -> int:
     """Return the number of calls per second."""
-    begun_s = time.perf_counter()
+    began_s = time.perf_counter()
     for number in numbers:
         call(number)
-    return round(len(numbers) / (time.perf_counter() - begun_s))
+    return round(len(numbers) / (time.perf_counter() - began_s))
 
 
 def measure(customers: int) -> list[float]:
@@ -88,25 +88,33 @@
     numbers = [rng.randrange(customers or 1) for _ in range(LOOKUPS)]
     names = [CustomerId(f"customer-{number}") for number in range(customers or 1)]
     rates = [
-        per_s(lambda at: directory.authenticate(f"key-{at}"), numbers),
-        per_s(lambda at: directory.customer(names[at]), numbers),
-        per_s(lambda at: directory.approved(service_of(at), names[at]), numbers),
-        per_s(lambda at: directory.route(f"/service-{at % 2000}/part-{at}/x"), numbers),
-        per_s(lambda at: directory.put_customer(Customer(names[at], 2, 3)), numbers),
+        calls_per_s(lambda index: directory.authenticate(f"key-{index}"), numbers),
+        calls_per_s(lambda index: directory.customer(names[index]), numbers),
+        calls_per_s(
+            lambda index: directory.approved(service_of(index), names[index]), numbers
+        ),
+        calls_per_s(
+            lambda index: directory.route(f"/service-{index % 2000}/part-{index}/x"),
+            numbers,
+        ),
+        calls_per_s(
+            lambda index: directory.put_customer(Customer(names[index], 2, 3)), numbers
+        ),
     ]
-    begun_s = time.perf_counter()
+    began_s = time.perf_counter()
     for number in range(min(20, customers)):
         directory.remove_customer(names[number])
-    removal_ms = (time.perf_counter() - begun_s) * 1000 / 20
-    begun_s = time.perf_counter()
+    removal_ms = (time.perf_counter() - began_s) * 1000 / 20
+    began_s = time.perf_counter()
     directory.customer_table.compact()
-    compact_ms = (time.perf_counter() - begun_s) * 1000
+    compact_ms = (time.perf_counter() - began_s) * 1000
     size_mb = sum(map(len, dump_parts(directory))) / 1e6
     return [
         customers,
         round(filled_mb, 1),
         round(filled_mb - before_mb, 1),
         round(size_mb, 1),
+        # write_table fills in load_s and loaded_rss_mb from another process.
         0.0,
         0.0,
         *rates,
@@ -117,19 +125,19 @@
 
 def measure_load(path: Path) -> tuple[float, float]:
     """Return the seconds to load a dump from a file, and the MB of memory after it."""
-    begun_s = time.perf_counter()
+    began_s = time.perf_counter()
     with path.open("rb") as file:
         directory = load_parts(iter(lambda: file.read(65_536), b""))
-    taken_s = time.perf_counter() - begun_s
+    load_s = time.perf_counter() - began_s
     assert directory.counts()["services"] == SERVICES
-    return round(taken_s, 3), round(rss_mb(), 1)
+    return round(load_s, 3), round(rss_mb(), 1)
 
 
 def in_fresh_process(*arguments: str) -> list[float]:
-    """Run one measurement in a process of its own."""
+    """Run one measurement in a process of its own; return the figures it prints."""
     command = [sys.executable, "-m", "benchmarks.directory", *arguments]
-    done = subprocess.run(command, check=True, capture_output=True, text=True)
-    return [float(word) for word in done.stdout.split()]
+    completed = subprocess.run(command, check=True, capture_output=True, text=True)
+    return [float(word) for word in completed.stdout.split()]
 
 
 def main() -> None:
@@ -152,17 +160,17 @@
 
 def write_table(output: Path) -> None:
     """Write the figures of all sizes."""
-    saved = output.with_suffix(".dump")
+    dump_path = output.with_suffix(".dump")
     with output.open("w", newline="") as file:
         writer = csv.writer(file)
         writer.writerow(COLUMNS)
-        for count in COUNTS:
+        for count in CUSTOMER_COUNTS:
             row = in_fresh_process("--count", str(count))
-            in_fresh_process("--count", str(count), "--save", str(saved))
-            row[4:6] = in_fresh_process("--load", str(saved))
+            in_fresh_process("--count", str(count), "--save", str(dump_path))
+            row[4:6] = in_fresh_process("--load", str(dump_path))
             writer.writerow(row)
             print(*row, flush=True)
-    saved.unlink()
+    dump_path.unlink()
 
 
 if __name__ == "__main__":
--- a/benchmarks/false_alarms.py
+++ b/benchmarks/false_alarms.py
@@ -17,47 +17,50 @@
 PARALLEL_TARGETS = 8192
 BIN_NATS = 0.5
 BINS = 80
-LEVEL_NATS = 12.0
+EXTRAPOLATION_NATS = 12.0
 
-Floats = npt.NDArray[np.float64]
+FloatArray = npt.NDArray[np.float64]
 
 
 @dataclass(frozen=True)
 class FalseAlarms:
-    """Hold how many excursions of all tests reached each level of evidence."""
+    """Hold how many excursions of all tests reached each level of evidence.
+
+    ``reached[i]`` counts the excursions whose peak is at least ``i * BIN_NATS``.
+    """
 
     samples: int
-    reached: Floats
+    reached: FloatArray
 
     def per_samples(self, threshold_nats: float, samples: float) -> float:
         """Return the false alarms expected in a number of healthy samples."""
         reached = float(self.reached[int(threshold_nats / BIN_NATS)])
         return reached * samples / self.samples
 
-    def by_slope_per_samples(self, threshold_nats: float, samples: float) -> float:
+    def extrapolated_per_samples(self, threshold_nats: float, samples: float) -> float:
         """Return the false alarms expected from a level that many excursions reach.
 
         Each nat above it divides them by e, as the likelihood ratio is a martingale.
         """
-        at_level = self.per_samples(LEVEL_NATS, samples)
-        return at_level * exp(LEVEL_NATS - threshold_nats)
+        false_alarms = self.per_samples(EXTRAPOLATION_NATS, samples)
+        return false_alarms * exp(EXTRAPOLATION_NATS - threshold_nats)
 
-    def at_most_per_samples(self, threshold_nats: float, samples: float) -> float:
-        """Return the upper end of the 95 % interval, 3 for none seen."""
+    def upper_bound_per_samples(self, threshold_nats: float, samples: float) -> float:
+        """Return the upper end of the 95 % interval; 3 events if none occurred."""
         reached = float(self.reached[int(threshold_nats / BIN_NATS)])
         upper_bound = 3.0 if reached == 0.0 else reached + 2.0 * reached**0.5 + 2.0
         return upper_bound * samples / self.samples
 
 
 class Excursions:
-    """Keep many sums that are floored at 0, and record the peak of each excursion."""
+    """Keep many sums that are floored at 0; count excursions by their peak."""
 
     def __init__(self) -> None:
         self._nats = np.zeros(PARALLEL_TARGETS)
         self._peaks = np.zeros(PARALLEL_TARGETS)
         self.ended = np.zeros(BINS, dtype=np.int64)
 
-    def step(self, gains: Floats, cost: float = 0.0) -> None:
+    def step(self, gains: FloatArray, cost: float = 0.0) -> None:
         """Add the gains, update the peaks, then subtract the cost."""
         self._nats += gains
         np.maximum(self._peaks, self._nats, out=self._peaks)
@@ -90,8 +93,8 @@
         failed = rng.random(PARALLEL_TARGETS, dtype=np.float32) < error_rate
         for test, sums in zip(tests, failures, strict=True):
             sums.step(np.where(failed, test.failure_nats, test.success_nats))
-        # While requests run, their hazard grows by an exponential of mean 1 between
-        # two answers, however many slots share it.
+        # Between two answers, the hazard of the running requests grows by an
+        # exponential of mean 1, however many slots they use.
         slow.step(gain * rng.standard_exponential(PARALLEL_TARGETS), cost)
     ended = slow.ended + sum(sums.ended for sums in failures)
     return FalseAlarms(
--- a/benchmarks/fleet_start.py
+++ b/benchmarks/fleet_start.py
@@ -23,7 +23,7 @@
 SMALL: Final = HostSize(20.0, 0.43)
 FLEETS: Final = ((0, 30), (0, 133), (8, 125), (0, 300), (18, 275), (36, 564))
 TARGETS: Final = 600
-STARTED_S: Final = 10.0
+PHASE_S: Final = 10.0
 POLL_INTERVAL_S: Final = 0.25
 SEED: Final = 1
 RESULTS_PATH: Final = Path("benchmarks/results/fleet-start.csv")
@@ -31,7 +31,11 @@
 
 @dataclass(frozen=True)
 class Row:
-    """Hold the cost of one fleet; ``known_s`` is when all hosts had all lists."""
+    """Hold the cost of one fleet; ``known_s`` is when all hosts had all lists.
+
+    ``start_`` columns cover the start phase, ``rest_`` columns the idle phase.
+    ``busiest_kb`` is what the link with most traffic sent in the start phase.
+    """
 
     hosts: int
     large: int
@@ -60,7 +64,7 @@
     began_s = loop.time()
     await fleet.start_all()
     known_s = math.inf
-    while loop.time() < began_s + STARTED_S:
+    while loop.time() < began_s + PHASE_S:
         if known_s == math.inf and _all_lists_known(fleet):
             known_s = loop.time() - began_s
         await asyncio.sleep(POLL_INTERVAL_S)
@@ -68,7 +72,7 @@
     calls, sent_datagrams = fleet.store.calls.total(), fleet.sent_datagrams()
     sent_bytes = fleet.sent_bytes()
     busiest = max(link.sent_bytes for link in fleet.network.links.values())
-    await asyncio.sleep(STARTED_S)
+    await asyncio.sleep(PHASE_S)
     return Row(
         hosts,
         large,
@@ -78,9 +82,9 @@
         sent_datagrams / hosts,
         sent_bytes / 1e6,
         busiest / 1e3,
-        (fleet.store.calls.total() - calls) / STARTED_S,
-        (fleet.sent_datagrams() - sent_datagrams) / hosts / STARTED_S,
-        (fleet.sent_bytes() - sent_bytes) / hosts / STARTED_S,
+        (fleet.store.calls.total() - calls) / PHASE_S,
+        (fleet.sent_datagrams() - sent_datagrams) / hosts / PHASE_S,
+        (fleet.sent_bytes() - sent_bytes) / hosts / PHASE_S,
     )
 
 
--- a/benchmarks/gray_targets.py
+++ b/benchmarks/gray_targets.py
@@ -37,7 +37,7 @@
 ENTRIES: Final = 36
 RATE_PER_S: Final = 59.0
 WORK_MS: Final = 160.0
-SPREAD: Final = 0.3
+WORK_SIGMA: Final = 0.3
 ERROR_FRACTION: Final = 0.012
 DEADLINE_MS: Final = 2_500.0
 WINDOW_MS: Final = 5_000.0
@@ -46,7 +46,7 @@
 BROKEN_AFTER_MS: Final = 1.0
 CHOSEN_NATS: Final = target_tracker.EJECT_NATS
 THRESHOLDS_NATS: Final = (3.0, CHOSEN_NATS, 9.0, 12.0, 16.0)
-IN_A_ROW: Final = 5
+EJECT_AFTER_ERRORS: Final = 5
 EJECTION_MS: Final = target_tracker.EJECTION_MS
 
 
@@ -55,7 +55,7 @@
     """Define which fraction of its requests a gray target fails, and how."""
 
     name: str
-    share: float
+    failure_fraction: float
     attempt_outcome: AttemptOutcome
 
 
@@ -66,7 +66,7 @@
 )
 
 
-def listed() -> list[ListedTarget]:
+def make_listed_targets() -> list[ListedTarget]:
     """Return the targets of the service."""
     return [
         ListedTarget(
@@ -91,7 +91,7 @@
             for _ in range(self.instances)
         ]
         for placer in self._placers:
-            placer.set_targets(listed(), 0.0)
+            placer.set_targets(make_listed_targets(), 0.0)
 
     def place(self, entry: int, now_ms: float) -> tuple[int, GrantId] | None:
         """Return a target and its grant; None if no slot is free."""
@@ -128,13 +128,13 @@
         return [int(c.target) for c in changes if c.standing is EjectionState.EJECTED]
 
 
-class InARow:
+class ConsecutiveErrors:
     """Eject after consecutive errors, counted for all entries together."""
 
     instances = 1
 
     def __init__(self) -> None:
-        self._failures_in_a_row = [0] * TARGETS
+        self._consecutive_errors = [0] * TARGETS
         self._ejected_until_ms = [0.0] * TARGETS
         self._running = [0] * TARGETS
         self._ejected: list[int] = []
@@ -159,12 +159,12 @@
         target = end.target
         self._running[target] -= 1
         answered = end.attempt_outcome is AttemptOutcome.ANSWERED
-        self._failures_in_a_row[target] = (
-            0 if answered else self._failures_in_a_row[target] + 1
+        self._consecutive_errors[target] = (
+            0 if answered else self._consecutive_errors[target] + 1
         )
-        if self._failures_in_a_row[target] >= IN_A_ROW:
+        if self._consecutive_errors[target] >= EJECT_AFTER_ERRORS:
             self._ejected_until_ms[target] = end.at_ms + EJECTION_MS
-            self._failures_in_a_row[target] = 0
+            self._consecutive_errors[target] = 0
             self._ejected.append(target)
 
     def ejected(self, entry: int) -> list[int]:
@@ -209,7 +209,9 @@
 class Trial:
     """Run one service in virtual time."""
 
-    def __init__(self, detector: Placers | InARow, fault: Fault, seed: int) -> None:
+    def __init__(
+        self, detector: Placers | ConsecutiveErrors, fault: Fault, seed: int
+    ) -> None:
         self._detector = detector
         self._fault = fault
         self._rng = random.Random(seed)
@@ -258,10 +260,10 @@
         heapq.heappush(self._scheduled_ends, end)
 
     def _run_attempt(self, target: int, at_ms: float) -> tuple[AttemptOutcome, float]:
-        work_ms = WORK_MS * self._rng.lognormvariate(-(SPREAD**2) / 2, SPREAD)
+        work_ms = WORK_MS * self._rng.lognormvariate(-(WORK_SIGMA**2) / 2, WORK_SIGMA)
         if (
             target == self._gray_target(at_ms)
-            and self._rng.random() < self._fault.share
+            and self._rng.random() < self._fault.failure_fraction
         ):
             self.outcome.lost += 1
             window, into_ms = divmod(at_ms, 2 * WINDOW_MS)
@@ -310,8 +312,9 @@
 class Row:
     """Hold the figures of one way to detect gray targets and one fault.
 
-    A gray target counts as detected when it is ejected. One that is only avoided counts
-    as detected at the last request that it costs in a window.
+    ``judge`` names the way to detect, with its threshold if that varies. A gray target
+    counts as detected when it is ejected; one that is only avoided counts as detected
+    at the last request that it costs in a window.
     """
 
     judge: str
@@ -327,7 +330,11 @@
     outcomes = []
     with threshold(nats):
         for seed in range(seeds):
-            detector = InARow() if judge == "in a row" else Placers(judge == "pooled")
+            detector = (
+                ConsecutiveErrors()
+                if judge == "in a row"
+                else Placers(judge == "pooled")
+            )
             outcomes.append(Trial(detector, fault, seed).run())
     times = sorted(time for outcome in outcomes for time in outcome.detected_ms)
     return Row(
@@ -342,28 +349,28 @@
 
 def rows() -> list[Row]:
     """Return the figures of all ways to detect and all faults."""
-    found = []
+    result_rows = []
     for fault in FAULTS:
-        found += [measure("pooled", fault, nats) for nats in THRESHOLDS_NATS]
-        found.append(measure("each alone", fault, CHOSEN_NATS))
-        found.append(measure("in a row", fault, CHOSEN_NATS))
-    return found
+        result_rows += [measure("pooled", fault, nats) for nats in THRESHOLDS_NATS]
+        result_rows.append(measure("each alone", fault, CHOSEN_NATS))
+        result_rows.append(measure("in a row", fault, CHOSEN_NATS))
+    return result_rows
 
 
 def check() -> list[str]:
     """Return the figures at the chosen threshold that exceed the committed bounds."""
     bounds = json.loads(BOUNDS_PATH.read_text())
-    broken = []
+    findings = []
     for fault in FAULTS:
         row = measure("pooled", fault, CHOSEN_NATS, seeds=1)
         for name, bound in bounds[fault.name].items():
             figure = getattr(row, name)
             if figure > bound:
-                broken.append(f"{fault.name}: {name} {figure:.1f} > {bound}")
-    return broken
+                findings.append(f"{fault.name}: {name} {figure:.1f} > {bound}")
+    return findings
 
 
-def plot(found: list[Row]) -> None:
+def plot(result_rows: list[Row]) -> None:
     """Plot requests lost per window and ejections of healthy targets."""
     import matplotlib  # noqa: PLC0415 - only the plot needs it
 
@@ -372,7 +379,7 @@
 
     figure, axes = pyplot.subplots(1, 2, figsize=(10, 4))
     for fault in FAULTS:
-        of_fault = [row for row in found if row.fault == fault.name]
+        of_fault = [row for row in result_rows if row.fault == fault.name]
         pooled = [row for row in of_fault if row.judge.startswith("pooled")]
         line = axes[0].plot(
             THRESHOLDS_NATS,
@@ -397,10 +404,10 @@
 
 
 def main() -> None:
-    """Measure all, write the table and the figure."""
-    found = rows()
-    write_table(Row, found, RESULTS_PATH)
-    plot(found)
+    """Measure all cases, then write the table and the figure."""
+    result_rows = rows()
+    write_table(Row, result_rows, RESULTS_PATH)
+    plot(result_rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -34,7 +34,7 @@
 BOUNDS_PATH: Final = ROOT / "benchmarks" / "bounds" / "health.json"
 FIGURE_PATH: Final = ROOT / "docs" / "figures" / "health.png"
 LOAD: Final = 0.7
-WARM_MS: Final = 6_000.0
+WARM_UP_MS: Final = 6_000.0
 WATCH_MS: Final = 15_000.0
 DAY_S: Final = 86_400.0
 THRESHOLDS_NATS: Final = (12.0, 15.0, 18.0, 21.0, 24.0)
@@ -104,7 +104,7 @@
         settings=settings_at(1e9),
     )
     gray = trial.targets[0].target
-    trial.behaviours[gray] = since(WARM_MS, bad)
+    trial.behaviours[gray] = since(WARM_UP_MS, bad)
     settings = {f"{nats:g}": settings_at(nats) for nats in thresholds_nats}
     settings[CHOSEN] = HealthSettings()
     for name, config in settings.items():
@@ -112,17 +112,17 @@
         group_health.set_targets(trial.targets, 0.0)
         trial.watchers[name] = Watcher(group_health, trial.reaches)
     trial.watchers[FIVE_ERRORS] = FiveErrors()
-    end_ms = WARM_MS
-    while end_ms < WARM_MS + WATCH_MS:
+    end_ms = WARM_UP_MS
+    while end_ms < WARM_UP_MS + WATCH_MS:
         end_ms += 250.0
         trial.run_until(end_ms)
         evaluators = [w for name, w in trial.watchers.items() if name != FIVE_ERRORS]
         if all(gray in watcher.ejected_ms for watcher in evaluators):
             break
-    # Five errors in a row may come later than the run ends and are then infinite; see
-    # five_errors_mean_s for their mean.
+    # Five consecutive errors may not occur within the run; their time is then infinite
+    # here, and five_errors_mean_s gives its mean.
     return {
-        name: watcher.ejected_ms.get(gray, float("inf")) - WARM_MS
+        name: watcher.ejected_ms.get(gray, float("inf")) - WARM_UP_MS
         for name, watcher in trial.watchers.items()
     }
 
@@ -154,7 +154,7 @@
     return (1.0 - rate**5) / (rate**5 * (1.0 - rate)) / requests_per_s
 
 
-def evaluated_alarms(threshold_nats: float, seed: int) -> tuple[int, int]:
+def count_group_health_alarms(threshold_nats: float, seed: int) -> tuple[int, int]:
     """Return the false ejections by ``GroupHealth``, and the requests evaluated."""
     trial = HealthTrial.from_config(
         8, 2, load=LOAD, seed=seed, settings=settings_at(threshold_nats)
@@ -164,27 +164,26 @@
 
 
 def measure_flapping(seed: int) -> dict[str, float]:
-    """Return what fraction fails in two minutes if one target is bad 5 s in 10."""
+    """Return the fraction failed in 2 min if one target fails 5 s of every 10 s."""
     result = {}
     for name, config in (("judged", HealthSettings()), ("never", settings_at(1e9))):
         trial = HealthTrial.from_config(8, 2, seed=seed, settings=config)
         gray = trial.targets[0].target
-        trial.behaviours[gray] = flapping(WARM_MS, 5_000.0, failing(1.0))
-        trial.run_until(WARM_MS + 120_000.0)
+        trial.behaviours[gray] = flapping(WARM_UP_MS, 5_000.0, failing(1.0))
+        trial.run_until(WARM_UP_MS + 120_000.0)
         result[f"{name}_failed"] = trial.failures / trial.completed_requests
         result[f"{name}_ejections"] = float(len(trial.times(Ejected, gray)))
         if name == "judged":
-            result["first_ms"] = (trial.first(Ejected, gray) or 0.0) - WARM_MS
+            result["first_ms"] = (trial.first(Ejected, gray) or 0.0) - WARM_UP_MS
     return result
 
 
 def measure_floor_cost(seed: int) -> dict[str, dict[str, float]]:
     """Return the fraction of requests that failed or were not served in time.
 
-    By load and by how many of 8 targets fail all work, within one minute.
-
-    "whole" lets one coordinator use the whole ejection cap, "half" the share of one of
-    two coordinators, and "none" ejects no target.
+    Each run takes one minute; the keys give how many of 8 targets fail all work, and
+    the load. "whole" lets one coordinator use the whole ejection cap, "half" the share
+    of one of two coordinators, and "none" ejects no target.
     """
     ways = {
         "none": settings_at(1e9),
@@ -208,18 +207,18 @@
     alarms = count_false_alarms(samples, 1, HEALTHY_ERROR_RATE, HealthSettings())
     detection: dict[str, Any] = {}
     for group in GROUPS:
-        # All thresholds for one service; only the chosen one for the others.
-        curve = THRESHOLDS_NATS if group.name == "katalog" else ()
+        # One service runs at all thresholds, the others only at the chosen one.
+        thresholds_nats = THRESHOLDS_NATS if group.name == "katalog" else ()
         detection[group.name] = {
-            fault: detection_times(group, fault, curve) for fault in FAULTS
+            fault: detection_times(group, fault, thresholds_nats) for fault in FAULTS
         }
     objective_group = replace(GROUPS[0], seeds=OBJECTIVE_SEEDS)
     evaluated = {}
     for nats in (6.0, 8.0):
-        seen, completed_requests = evaluated_alarms(nats, seed=7)
+        false_ejections, completed_requests = count_group_health_alarms(nats, seed=7)
         counted = alarms.per_samples(nats, completed_requests)
         evaluated[f"{nats:g}"] = {
-            "judged": seen,
+            "judged": false_ejections,
             "counted": counted,
             "works": completed_requests,
         }
@@ -239,15 +238,15 @@
 
 
 def false_per_day(group: Group, alarms: FalseAlarms) -> dict[str, dict[str, float]]:
-    """Return the false ejections per day, measured and at most, by threshold."""
+    """Return false ejections per day by threshold: counted, extrapolated, at most."""
     day = group.requests_per_day
     levels = {f"{nats:g}": nats for nats in THRESHOLDS_NATS}
     levels[CHOSEN] = group.chosen_nats
     return {
         name: {
             "seen": alarms.per_samples(nats, day),
-            "by_slope": alarms.by_slope_per_samples(nats, day),
-            "at_most": alarms.at_most_per_samples(nats, day),
+            "by_slope": alarms.extrapolated_per_samples(nats, day),
+            "at_most": alarms.upper_bound_per_samples(nats, day),
         }
         for name, nats in levels.items()
     }
@@ -315,19 +314,19 @@
     """Return the figures that exceed the committed bounds, from a short run."""
     bounds = json.loads(BOUNDS_PATH.read_text())
     katalog = replace(GROUPS[0], seeds=12)
-    broken = []
+    findings = []
     for fault, bound_ms in bounds["katalog_p95_ms"].items():
         p95_ms = detection_times(katalog, fault, ())[CHOSEN]["p95_ms"]
         if p95_ms > bound_ms:
-            broken.append(f"katalog {fault}: p95 {p95_ms:.0f} ms > {bound_ms} ms")
+            findings.append(f"katalog {fault}: p95 {p95_ms:.0f} ms > {bound_ms} ms")
     alarms = count_false_alarms(80_000_000, 2, HEALTHY_ERROR_RATE, HealthSettings())
     for name, bound in bounds["false_per_day"].items():
         group = next(g for g in GROUPS if g.name == name)
         day = group.requests_per_day
-        expected = alarms.by_slope_per_samples(group.chosen_nats, day)
+        expected = alarms.extrapolated_per_samples(group.chosen_nats, day)
         if expected > bound:
-            broken.append(f"{name}: {expected:.2f} false ejections a day > {bound}")
-    return broken
+            findings.append(f"{name}: {expected:.2f} false ejections a day > {bound}")
+    return findings
 
 
 def main() -> None:
@@ -338,9 +337,9 @@
     parser.add_argument("--samples", type=int, default=300_000_000)
     arguments = parser.parse_args()
     if arguments.check:
-        broken = check()
-        print("\n".join(broken) or "health: within bounds")
-        raise SystemExit(bool(broken))
+        findings = check()
+        print("\n".join(findings) or "health: within bounds")
+        raise SystemExit(bool(findings))
     figures = measure(arguments.samples)
     print_table(figures)
     if arguments.output:
--- a/benchmarks/health_trial.py
+++ b/benchmarks/health_trial.py
@@ -24,7 +24,7 @@
 from crocusspindle.ids import DomainId, ServiceId, TargetId
 
 TICK_MS = 100.0
-OPINION_MS = 30.0
+SECOND_OPINION_DELAY_MS = 30.0
 MEAN_WORK_MS = 50.0
 HEALTHY_ERROR_RATE = 0.01
 TIMEOUT_MS = 10_000.0
@@ -127,7 +127,7 @@
 
 
 class FiveErrors(Watcher):
-    """Baseline: eject on five consecutive errors."""
+    """Eject on five consecutive errors, as a baseline."""
 
     def __init__(self) -> None:
         self.ejected_ms = {}
@@ -189,7 +189,7 @@
             target.target: {} for target in self.targets
         }
         total_slots = sum(target.slots for target in self.targets)
-        self._gap_ms = MEAN_WORK_MS / (self.load * total_slots)
+        self._mean_interarrival_ms = MEAN_WORK_MS / (self.load * total_slots)
         self._record(self.group_health.set_targets(self.targets, 0.0))
         self._at(0.0, self._arrive)
         self._at(0.0, self._tick)
@@ -241,10 +241,13 @@
             reached = self.reaches(target)
             self._record(self.group_health.second_opinion(target, reached, self.now_ms))
 
-        self._at(self.now_ms + OPINION_MS, deliver_opinion)
+        self._at(self.now_ms + SECOND_OPINION_DELAY_MS, deliver_opinion)
 
     def _arrive(self) -> None:
-        self._at(self.now_ms + self._rng.expovariate(1.0 / self._gap_ms), self._arrive)
+        self._at(
+            self.now_ms + self._rng.expovariate(1.0 / self._mean_interarrival_ms),
+            self._arrive,
+        )
         self._queue.append(self.now_ms)
         self._place()
 
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -122,10 +122,10 @@
     cases = list(cases)
     plays = [(*case, seed) for case in cases for seed in range(seeds)]
     with ProcessPoolExecutor(PROCESSES) as pool:
-        found = list(pool.map(play, *zip(*plays, strict=True)))
+        figures = list(pool.map(play, *zip(*plays, strict=True)))
     result_rows = []
     for number, (load, without) in enumerate(cases):
-        runs = found[number * seeds : (number + 1) * seeds]
+        runs = figures[number * seeds : (number + 1) * seeds]
         credits = [run[0] for run in runs]
         error = statistics.stdev(credits) / math.sqrt(seeds)
         means = [statistics.mean(column) for column in zip(*runs, strict=True)]
@@ -136,34 +136,34 @@
 def check() -> list[str]:
     """Return the figures with all mechanisms on that exceed the committed bounds."""
     bounds = json.loads(BOUNDS_PATH.read_text())
-    broken = []
+    findings = []
     for row in rows(((load, "") for load in bounds), CHECK_SEEDS):
         for name, bound in bounds[row.load].items():
             figure = getattr(row, name)
             if figure > bound:
-                broken.append(f"{row.load}: {name} {figure:.4f} > {bound}")
-    return broken
+                findings.append(f"{row.load}: {name} {figure:.4f} > {bound}")
+    return findings
 
 
-def plot(found: list[Row]) -> None:
+def plot(result_rows: list[Row]) -> None:
     """Plot the effect of each mechanism under each load."""
     import matplotlib  # noqa: PLC0415 - only the plot needs it
 
     matplotlib.use("Agg")
     from matplotlib import pyplot  # noqa: PLC0415 - only the plot needs it
 
-    with_all = {row.load: row for row in found if not row.without}
+    with_all = {row.load: row for row in result_rows if not row.without}
     names = [policy.value for policy in Policy]
     figure, axis = pyplot.subplots(figsize=(10, 6))
     for number, load in enumerate(LOADS):
         credit_lost = {
             row.without: with_all[load].credit - row.credit
-            for row in found
+            for row in result_rows
             if row.load == load
         }
         offset = (number - len(LOADS) / 2) * 0.08
-        places = [place + offset for place in range(len(names))]
-        axis.barh(places, [credit_lost[name] for name in names], 0.08, label=load)
+        positions = [position + offset for position in range(len(names))]
+        axis.barh(positions, [credit_lost[name] for name in names], 0.08, label=load)
     axis.set_yticks(range(len(names)), names)
     axis.set_xlabel("credit lost without it (share of all)")
     axis.legend(fontsize=7)
@@ -172,11 +172,11 @@
 
 
 def main() -> None:
-    """Measure all, write the table and the figure."""
+    """Measure all cases, then write the table and the figure."""
     names = ["", *(policy.value for policy in Policy)]
-    found = rows(((load, name) for load in LOADS for name in names), SEEDS)
-    write_table(Row, found, RESULTS_PATH)
-    plot(found)
+    result_rows = rows(((load, name) for load in LOADS for name in names), SEEDS)
+    write_table(Row, result_rows, RESULTS_PATH)
+    plot(result_rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/placing_trial.py
+++ b/benchmarks/placing_trial.py
@@ -171,7 +171,7 @@
                     windows.append((at_ms, at_ms + span_ms))
                 period_began_ms += gray.period_ms
 
-    def gray(self, target: int, at_ms: float) -> bool:
+    def is_gray(self, target: int, at_ms: float) -> bool:
         """Return True if the target is gray at a time."""
         return any(begin <= at_ms < end for begin, end in self._windows[target])
 
@@ -300,7 +300,7 @@
         return frozenset(
             TargetIdentity(str(number))
             for number in range(self._scenario.targets)
-            if self._gray_plan.gray(number, now_ms)
+            if self._gray_plan.is_gray(number, now_ms)
         )
 
     def _serve_queued(self, now_ms: float) -> None:
@@ -354,9 +354,9 @@
             return
         sent = len(request.tried)
         self._request_placement(request, True, now_ms, hedge=True)
-        again_ms = now_ms + HEDGE_RETRY_MS
-        if len(request.tried) == sent and again_ms < request.ends_ms:
-            self._at(again_ms, lambda at: self._hedge(request, at))
+        next_hedge_ms = now_ms + HEDGE_RETRY_MS
+        if len(request.tried) == sent and next_hedge_ms < request.ends_ms:
+            self._at(next_hedge_ms, lambda at: self._hedge(request, at))
 
     def _attempt_result(
         self, request: _Request, target: int, now_ms: float
@@ -374,7 +374,7 @@
         work_ms = route_load.draw_ms(self._rng)
         gray = self._scenario.gray
         failed = self._rng.random() < route_load.error_fraction
-        if gray is not None and self._gray_plan.gray(target, now_ms):
+        if gray is not None and self._gray_plan.is_gray(target, now_ms):
             if self._rng.random() >= gray.failure_fraction:
                 return AttemptOutcome.ANSWERED, work_ms
             if gray.outcome is AttemptOutcome.ANSWERED:
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -238,12 +238,12 @@
             "entries_queue": place_by_entries(load, seconds, queues=True),
             "entries_shed": place_by_entries(load, seconds, queues=False),
         }
-        for way, found in ways.items():
-            found["to_optimum"] = found["mean_wait_ms"] / best["mean_wait_ms"]
-            found["to_optimum_without_hops"] = (
-                found["mean_wait_without_hops_ms"] / best["mean_wait_ms"]
+        for way, results in ways.items():
+            results["to_optimum"] = results["mean_wait_ms"] / best["mean_wait_ms"]
+            results["to_optimum_without_hops"] = (
+                results["mean_wait_without_hops_ms"] / best["mean_wait_ms"]
             )
-            figures[f"load_{percent}_{way}"] = found
+            figures[f"load_{percent}_{way}"] = results
     return figures
 
 
@@ -265,10 +265,10 @@
                     target.fail_fraction = 1.0
             driver.submit(jobs)
             loop.run()
-            found = describe_customers(jobs, None)
-            found["sent_per_request"] = sum(job.sent for job in jobs) / len(jobs)
-            found["p99_ms"] = response_p99_ms(jobs)
-            figures[f"{fault}_{way}"] = found
+            results = describe_customers(jobs, None)
+            results["sent_per_request"] = sum(job.sent for job in jobs) / len(jobs)
+            results["p99_ms"] = response_p99_ms(jobs)
+            figures[f"{fault}_{way}"] = results
     return figures
 
 
@@ -343,17 +343,17 @@
     """Return a line for each figure out of bounds."""
     figures = measure_checked()
     bounds: dict[str, dict[str, dict[str, float]]] = json.loads(BOUNDS.read_text())
-    faults = []
+    findings = []
     for name, metrics in bounds.items():
         for metric, limits in metrics.items():
             value = figures[name][metric]
             if not limits.get("min", value) <= value <= limits.get("max", value):
-                faults.append(f"{name}.{metric} = {value:.4g}, bounds {limits}")
-    return faults
+                findings.append(f"{name}.{metric} = {value:.4g}, bounds {limits}")
+    return findings
 
 
 def main(output: str = "", seconds: float = 120.0) -> None:
-    """Measure all, print the figures and write them to a file."""
+    """Measure and print all figures; write them to a file if one is given."""
     figures = (
         measure_fairness(seconds)
         | measure_slots((0.7, 0.8, 0.9, 0.95), seconds)
--- a/benchmarks/queueing_plots.py
+++ b/benchmarks/queueing_plots.py
@@ -47,9 +47,9 @@
         (-0.2, "fifo", "one queue"),
         (0.2, "home", "fair queue"),
     ):
-        places = [place + offset for place in range(len(_CASES))]
+        positions = [position + offset for position in range(len(_CASES))]
         values = [figures[f"{case}_{way}"]["worst_share_in_time"] for case in _CASES]
-        bars = axis.bar(places, values, 0.4, label=label)
+        bars = axis.bar(positions, values, 0.4, label=label)
         axis.bar_label(bars, fmt="%.3f")
     axis.set_xticks(range(len(_CASES)), list(_CASES.values()))
     axis.set_ylabel("worst-served customer: fraction in time")
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -59,10 +59,10 @@
 
 def row_of(case: Case) -> list[str | float]:
     """Return the figures of one case."""
-    seen = run(case)
+    result = run(case)
     spread = "skewed" if case.skewed else "holders" if case.at_holders else "even"
     recovered_ms = (
-        max(0.0, seen.last_wrongly_refused_ms - 60_000.0) if case.lose else 0.0
+        max(0.0, result.last_wrongly_refused_ms - 60_000.0) if case.lose else 0.0
     )
     return [
         case.customer,
@@ -72,10 +72,10 @@
         case.entries,
         spread,
         case.lose.value if case.lose else "",
-        round(seen.per_mille, 2),
-        round(seen.net_per_mille, 2),
-        round(seen.messages / seen.requests, 3),
-        round(seen.slowest_ms, 1),
+        round(result.wrongly_refused_per_mille, 2),
+        round(result.net_per_mille, 2),
+        round(result.messages / result.requests, 3),
+        round(result.slowest_ms, 1),
         round(recovered_ms),
     ]
 
@@ -88,10 +88,12 @@
         customer, load = name.split(" at ")
         case = Case(Way.SHARES, customer, 40, float(load))
         for each in (case, replace(case, entries=8)):
-            seen = run(each).per_mille
-            if seen > bound:
+            per_mille = run(each).wrongly_refused_per_mille
+            if per_mille > bound:
                 where = f"{customer} at {load} over {each.entries} entries"
-                findings.append(f"{where}: {seen:.2f} refused in 1,000, not {bound}")
+                findings.append(
+                    f"{where}: {per_mille:.2f} refused in 1,000, not {bound}"
+                )
     return findings
 
 
--- a/benchmarks/shares_fleet.py
+++ b/benchmarks/shares_fleet.py
@@ -1,4 +1,4 @@
-"""Run the share ledgers of one fleet in virtual time; loans take a round trip."""
+"""Run the share ledgers of one fleet in virtual time; a loan costs a round trip."""
 
 import heapq
 import math
@@ -24,7 +24,7 @@
 
 HOP_MS: Final = 1.5
 TIMEOUT_MS: Final = 100.0
-WARM_MS: Final = 60_000.0
+WARM_UP_MS: Final = 60_000.0
 NODES: Final = 40
 DOMAINS: Final = 4
 CUSTOMERS: Final = {
@@ -116,7 +116,7 @@
         return max(wrong, default=0.0)
 
     @property
-    def per_mille(self) -> float:
+    def wrongly_refused_per_mille(self) -> float:
         """Return the refusals within rate per 1,000 requests within rate."""
         return 1000.0 * self.wrongly_refused / max(1, self.within)
 
@@ -148,7 +148,7 @@
     entries = range(case.entries)
     rate_per_ms = customer.rate_per_s * case.load / 1000.0
     size = 1 if case.arrivals is Arrivals.POISSON else max(1, customer.burst // 2)
-    now_ms = WARM_MS
+    now_ms = WARM_UP_MS
     sent = 0
     while sent < case.requests:
         now_ms += rng.expovariate(rate_per_ms / size)
@@ -200,8 +200,8 @@
     def _entries(self, at_holders: bool) -> list[MemberId]:
         """Return the entries in the order in which the customer uses them.
 
-        Callers that ask which entries to use come to the holders first. Others use any
-        entry; the worst case for them is one without a share.
+        Callers that query which entries to use reach the holders first. Others use any
+        entry; their worst case is one that holds no share.
         """
         others = [each.member for each in self.members]
         others = [each for each in others if each not in self.holders]
@@ -290,9 +290,9 @@
             and sent_request.gather
             and sent_request.gathered < MAX_GATHERS
         ):
-            found = lender.gather(name, sent_request.missing, now_ms)
-            if found is not None:
-                self._gather(now_ms, sent_request, found)
+            borrow = lender.gather(name, sent_request.missing, now_ms)
+            if borrow is not None:
+                self._gather(now_ms, sent_request, borrow)
                 return
         self.call_at(
             now_ms + HOP_MS, lambda at_ms: self._credit(at_ms, sent_request, loan)
@@ -300,27 +300,27 @@
         if sent_request.gather:
             self._top_up_later(now_ms, sent_request.lender)
 
-    def _gather(self, now_ms: float, sent_request: LoanRequest, found: Borrow) -> None:
+    def _gather(self, now_ms: float, sent_request: LoanRequest, borrow: Borrow) -> None:
         """Let the lender borrow from another holder, then decide on the loan again."""
         name = self.customer.customer
-        source = found.holders[0]
+        source = borrow.holders[0]
         self.result.messages += 1
 
         def lend(at_ms: float) -> None:
-            loan = self.ledgers[source].lend(name, found.missing, math.inf, at_ms)
-            self.call_at(at_ms + HOP_MS, lambda back_ms: credit(back_ms, loan))
+            loan = self.ledgers[source].lend(name, borrow.missing, math.inf, at_ms)
+            self.call_at(at_ms + HOP_MS, lambda returned_ms: credit(returned_ms, loan))
 
-        def credit(back_ms: float, loan: Loan) -> None:
+        def credit(returned_ms: float, loan: Loan) -> None:
             ledger = self.ledgers[sent_request.lender]
-            ledger.credit_loan(name, loan, source, now_ms, back_ms)
+            ledger.credit_loan(name, loan, source, now_ms, returned_ms)
             self._lend(
-                back_ms, replace(sent_request, gathered=sent_request.gathered + 1)
+                returned_ms, replace(sent_request, gathered=sent_request.gathered + 1)
             )
 
-        def lose(back_ms: float) -> None:
-            self.ledgers[sent_request.lender].record_timeout(name, source, back_ms)
+        def lose(returned_ms: float) -> None:
+            self.ledgers[sent_request.lender].record_timeout(name, source, returned_ms)
             self._lend(
-                back_ms, replace(sent_request, gathered=sent_request.gathered + 1)
+                returned_ms, replace(sent_request, gathered=sent_request.gathered + 1)
             )
 
         if source in self.killed_members:
@@ -343,12 +343,12 @@
             loan = self.ledgers[lender].lend(name, answer.missing, math.inf, at_ms)
             self.call_at(
                 at_ms + HOP_MS,
-                lambda back_ms: credit_loan(back_ms, loan),
+                lambda returned_ms: credit_loan(returned_ms, loan),
             )
 
-        def credit_loan(back_ms: float, loan: Loan) -> None:
-            self.ledgers[holder].credit_loan(name, loan, lender, now_ms, back_ms)
-            self._top_up_later(back_ms, holder)
+        def credit_loan(returned_ms: float, loan: Loan) -> None:
+            self.ledgers[holder].credit_loan(name, loan, lender, now_ms, returned_ms)
+            self._top_up_later(returned_ms, holder)
 
         self.call_at(now_ms + HOP_MS, lend)
 
@@ -412,8 +412,8 @@
         return baseline.result
     fleet = Fleet(case)
     if case.lose is not None:
-        fleet.run_until(WARM_MS)
-        fleet.kill_first_holder(case.lose, WARM_MS)
+        fleet.run_until(WARM_UP_MS)
+        fleet.kill_first_holder(case.lose, WARM_UP_MS)
     for now_ms, entry in arrivals(case, rng):
         fleet.arrive(now_ms, fleet.entries[entry])
     fleet.run_until(math.inf)
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -36,19 +36,19 @@
 
 
 async def _set_up(fleet: Fleet) -> None:
-    number = await fleet.ticket(
+    ticket = await fleet.ticket(
         fleet.nodes[0],
         services={SERVICE: {}},
         routes={f"/{SERVICE}/": {"service": SERVICE}},
         customers={"load": {"rate_per_s": 20000.0, "burst": 40000}},
         keys={sha256(KEY): {"customer": "load", "state": "active"}},
     )
-    number = await fleet.ticket(
+    ticket = await fleet.ticket(
         fleet.nodes[0],
         "owner",
         approvals={SERVICE: {"load": {"approved_by": "owner"}}},
     )
-    await fleet.until_in_force(number, fleet.nodes)
+    await fleet.until_in_force(ticket, fleet.nodes)
     while any(
         [(await fleet.status(node))["shares"]["waiting"] for node in fleet.nodes]
     ):
@@ -110,22 +110,22 @@
             "both hops": f"{other_url}/{SERVICE}/x",
         }
         for count in callers:
-            found: dict[str, list[float]] = {way: [] for way in ways}
-            took_s = dict.fromkeys(ways, 0.0)
+            latencies_ms: dict[str, list[float]] = {way: [] for way in ways}
+            elapsed_s = dict.fromkeys(ways, 0.0)
             for _ in range(ROUNDS):
                 for way, url in ways.items():
                     round_latencies_ms, round_s = await _measure(
                         session, url, count, seconds / ROUNDS
                     )
-                    found[way] += round_latencies_ms
-                    took_s[way] += round_s
+                    latencies_ms[way] += round_latencies_ms
+                    elapsed_s[way] += round_s
             points += [
                 Point(
                     way,
                     count,
-                    round(len(found[way]) / took_s[way]),
-                    round(quantile(found[way], 0.5), 2),
-                    round(quantile(found[way], 0.99), 2),
+                    round(len(latencies_ms[way]) / elapsed_s[way]),
+                    round(quantile(latencies_ms[way], 0.5), 2),
+                    round(quantile(latencies_ms[way], 0.99), 2),
                 )
                 for way in ways
             ]
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -1,7 +1,7 @@
 """Drive the deciding code of a group coordinator in virtual time.
 
-An event loop, targets that run, shed, fail, slow down or stop answering, and a driver
-that executes a coordinator's decisions. Everything is seeded: runs give the same
+Provides an event loop, targets that run, shed, fail, slow down or stop answering, and a
+driver that executes a coordinator's decisions. Everything is seeded: runs give the same
 figures on any machine.
 """
 
@@ -54,7 +54,7 @@
         self.at(self.now_ms + delay_ms, callback)
 
     def run(self, until_ms: float = float("inf")) -> None:
-        """Run until no callback is left or the time is reached."""
+        """Run callbacks until none remains or the time is reached."""
         while self._heap and self._heap[0][0] <= until_ms:
             self.now_ms, _, callback = heappop(self._heap)
             callback()
@@ -281,7 +281,7 @@
     def _cancel(self, attempt: AttemptId) -> None:
         sent = self._sent.pop(attempt, None)
         if sent is None:
-            return  # it has ended, and the report is already scheduled
+            return  # the attempt has ended and its report is scheduled
         if sent.work is not None:
             sent.target.cancel(sent.work)
         self._loop.after(0.0, lambda: self._ended(attempt, sent, AttemptEnd.SILENT))
