--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -35,8 +35,8 @@
 
 from matplotlib import pyplot
 
-RESULTS: Final = Path(__file__).parent / "results"
-FIGURES: Final = Path(__file__).resolve().parents[1] / "docs" / "figures"
+RESULTS_DIR: Final = Path(__file__).parent / "results"
+FIGURES_DIR: Final = Path(__file__).resolve().parents[1] / "docs" / "figures"
 NODE_COUNTS: Final = (3, 6, 12, 24, 40, 60)
 MEMBER_COUNTS: Final = (10, 40, 100, 400, 1_000, 2_000, 5_400)
 TARGET_COUNTS: Final = (100, 1_000, 10_000, 51_000)
@@ -256,9 +256,9 @@
 
 
 def _write(name: str, points: Sequence[Any]) -> None:
-    RESULTS.mkdir(exist_ok=True)
+    RESULTS_DIR.mkdir(exist_ok=True)
     rows = [asdict(point) for point in points]
-    with (RESULTS / f"capacity-{name}.csv").open("w", newline="") as file:
+    with (RESULTS_DIR / f"capacity-{name}.csv").open("w", newline="") as file:
         writer = csv.DictWriter(file, list(rows[0]), lineterminator="\n")
         writer.writeheader()
         writer.writerows(rows)
@@ -292,8 +292,8 @@
         axis.set_xscale("log")
         axis.set_yscale("log")
     figure.tight_layout()
-    FIGURES.mkdir(exist_ok=True)
-    figure.savefig(FIGURES / "capacity.png", dpi=90, metadata={"Software": None})
+    FIGURES_DIR.mkdir(exist_ok=True)
+    figure.savefig(FIGURES_DIR / "capacity.png", dpi=90, metadata={"Software": None})
 
 
 def main(largest: int = 60, directory: bool = True) -> None:
--- a/benchmarks/gray_targets.py
+++ b/benchmarks/gray_targets.py
@@ -36,7 +36,7 @@
 SLOTS: Final = 2
 ENTRIES: Final = 36
 RATE_PER_S: Final = 59.0
-WORK_MS: Final = 160.0
+MEAN_WORK_MS: Final = 160.0
 WORK_SIGMA: Final = 0.3
 ERROR_FRACTION: Final = 0.012
 DEADLINE_MS: Final = 2_500.0
@@ -260,7 +260,9 @@
         heapq.heappush(self._scheduled_ends, end)
 
     def _run_attempt(self, target: int, at_ms: float) -> tuple[AttemptOutcome, float]:
-        work_ms = WORK_MS * self._rng.lognormvariate(-(WORK_SIGMA**2) / 2, WORK_SIGMA)
+        work_ms = MEAN_WORK_MS * self._rng.lognormvariate(
+            -(WORK_SIGMA**2) / 2, WORK_SIGMA
+        )
         if (
             target == self._gray_target(at_ms)
             and self._rng.random() < self._fault.failure_fraction
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -239,14 +239,14 @@
 
 def false_per_day(group: Group, alarms: FalseAlarms) -> dict[str, dict[str, float]]:
     """Return false ejections per day by threshold: counted, extrapolated, at most."""
-    day = group.requests_per_day
+    daily_requests = group.requests_per_day
     levels = {f"{nats:g}": nats for nats in THRESHOLDS_NATS}
     levels[CHOSEN] = group.chosen_nats
     return {
         name: {
-            "seen": alarms.per_samples(nats, day),
-            "by_slope": alarms.extrapolated_per_samples(nats, day),
-            "at_most": alarms.upper_bound_per_samples(nats, day),
+            "seen": alarms.per_samples(nats, daily_requests),
+            "by_slope": alarms.extrapolated_per_samples(nats, daily_requests),
+            "at_most": alarms.upper_bound_per_samples(nats, daily_requests),
         }
         for name, nats in levels.items()
     }
@@ -322,8 +322,8 @@
     alarms = count_false_alarms(80_000_000, 2, HEALTHY_ERROR_RATE, HealthSettings())
     for name, bound in bounds["false_per_day"].items():
         group = next(g for g in GROUPS if g.name == name)
-        day = group.requests_per_day
-        expected = alarms.extrapolated_per_samples(group.chosen_nats, day)
+        daily_requests = group.requests_per_day
+        expected = alarms.extrapolated_per_samples(group.chosen_nats, daily_requests)
         if expected > bound:
             findings.append(f"{name}: {expected:.2f} false ejections a day > {bound}")
     return findings
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -40,11 +40,11 @@
 Figures = dict[str, dict[str, float]]
 
 SEED: Final = 20_261_202
-BOUNDS: Final = Path(__file__).parent / "bounds" / "queueing.json"
+BOUNDS_PATH: Final = Path(__file__).parent / "bounds" / "queueing.json"
 _TARGETS: Final = 8
 _SLOTS: Final = 2
-_WORK_MS: Final = 50.0
-_CAPACITY_PER_S: Final = _TARGETS * _SLOTS * 1_000.0 / _WORK_MS
+_MEAN_WORK_MS: Final = 50.0
+_CAPACITY_PER_S: Final = _TARGETS * _SLOTS * 1_000.0 / _MEAN_WORK_MS
 _RATES_PER_S: Final = (80.0, 60.0, 40.0, 20.0, 10.0, 5.0, 2.0, 1.0)
 """Rates of eight customers, a few of them large, together 68 % of the capacity."""
 _ENTRIES: Final = 40
@@ -56,14 +56,14 @@
 _SETTINGS: Final = CoordinatorSettings()
 
 
-def exponential_work(generator: random.Random) -> float:
+def exponential_work(rng: random.Random) -> float:
     """Return the service time of a request, exponential with a mean of 50 ms."""
-    return generator.expovariate(1.0 / _WORK_MS)
+    return rng.expovariate(1.0 / _MEAN_WORK_MS)
 
 
-def mixed_work(generator: random.Random) -> float:
+def mixed_work(rng: random.Random) -> float:
     """Return a service time of 20 ms, or of 320 ms for one request in ten."""
-    return 320.0 if generator.random() < 0.1 else 20.0
+    return 320.0 if rng.random() < 0.1 else 20.0
 
 
 def demands(scale: float = 1.0, patience_ms: float = 1_000.0) -> list[Demand]:
@@ -208,13 +208,13 @@
     targets = make_targets(loop, _TARGETS, _SLOTS, random.Random(SEED + 1))
     for target in targets:
         target.queues_inside = queues
-    generator = random.Random(SEED + 3)
-    EntryPicker(loop, targets, _ENTRIES, 0.0, generator).submit(jobs)
+    rng = random.Random(SEED + 3)
+    EntryPicker(loop, targets, _ENTRIES, 0.0, rng).submit(jobs)
     loop.run()
     return describe_waiting(jobs, targets)
 
 
-def place_at_best(load: float, seconds: float) -> dict[str, float]:
+def place_by_ideal_queue(load: float, seconds: float) -> dict[str, float]:
     """Measure waiting with one ideal queue that knows all slots, without any hop."""
     jobs = slot_jobs(load, seconds)
     serve_by_one_queue(jobs, _TARGETS * _SLOTS)
@@ -226,10 +226,10 @@
     figures: Figures = {}
     for load in loads:
         percent = round(load * 100)
-        best = place_at_best(load, seconds)
+        ideal = place_by_ideal_queue(load, seconds)
         no_hedges = CoordinatorSettings(hedge_fraction=0.0)
         ways = {
-            "optimum": best,
+            "optimum": ideal,
             "home": place_by_coordinator(load, seconds, CoordinatorSettings()),
             "home_no_hedges": place_by_coordinator(load, seconds, no_hedges),
             "home_far_targets": place_by_coordinator(
@@ -239,9 +239,9 @@
             "entries_shed": place_by_entries(load, seconds, queues=False),
         }
         for way, results in ways.items():
-            results["to_optimum"] = results["mean_wait_ms"] / best["mean_wait_ms"]
+            results["to_optimum"] = results["mean_wait_ms"] / ideal["mean_wait_ms"]
             results["to_optimum_without_hops"] = (
-                results["mean_wait_without_hops_ms"] / best["mean_wait_ms"]
+                results["mean_wait_without_hops_ms"] / ideal["mean_wait_ms"]
             )
             figures[f"load_{percent}_{way}"] = results
     return figures
@@ -278,11 +278,11 @@
     def __init__(
         self,
         settings: CoordinatorSettings,
-        health: TargetWeights,
-        generator: random.Random,
+        weights: TargetWeights,
+        rng: random.Random,
     ) -> None:
         self.events: list[Callable[[GroupCoordinator], object]] = []
-        super().__init__(settings, health, generator)
+        super().__init__(settings, weights, rng)
 
     def arrive(self, arrival: Arrival, now_ms: float) -> list[Decision]:
         """Record an arrival."""
@@ -342,7 +342,7 @@
 def check() -> list[str]:
     """Return a line for each figure out of bounds."""
     figures = measure_checked()
-    bounds: dict[str, dict[str, dict[str, float]]] = json.loads(BOUNDS.read_text())
+    bounds: dict[str, dict[str, dict[str, float]]] = json.loads(BOUNDS_PATH.read_text())
     findings = []
     for name, metrics in bounds.items():
         for metric, limits in metrics.items():
--- a/benchmarks/queueing_baselines.py
+++ b/benchmarks/queueing_baselines.py
@@ -35,13 +35,13 @@
         targets: list[VirtualTarget],
         entries: int,
         target_hop_ms: float,
-        generator: random.Random,
+        rng: random.Random,
     ) -> None:
         self._loop = loop
         self._targets = targets
         self._sent = [[0] * len(targets) for _ in range(entries)]
         self._hop_ms = target_hop_ms
-        self._rng = generator
+        self._rng = rng
 
     def submit(self, jobs: Iterable[Job]) -> None:
         """Schedule the arrival of each job at a random entry."""
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -16,7 +16,7 @@
 
 from benchmarks.shares_fleet import CUSTOMERS, Arrivals, Case, Loss, Way, run
 
-BOUNDS: Final = Path(__file__).parent / "bounds" / "shares.json"
+BOUNDS_PATH: Final = Path(__file__).parent / "bounds" / "shares.json"
 ENTRIES: Final = (1, 2, 4, 8, 16, 40)
 LOADS: Final = (0.6, 0.8, 0.9, 0.98)
 COLUMNS: Final = (
@@ -82,7 +82,7 @@
 
 def check() -> list[str]:
     """Return the figures that exceed the committed bounds; takes less than 20 s."""
-    bounds = json.loads(BOUNDS.read_text())
+    bounds = json.loads(BOUNDS_PATH.read_text())
     findings = []
     for name, bound in bounds["refused_within_rate_per_1000"].items():
         customer, load = name.split(" at ")
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -115,7 +115,7 @@
     loop: EventLoop
     target: Target
     slots: int
-    generator: random.Random
+    rng: random.Random
     queues_inside: bool = False
     slowness: float = 1.0
     fail_fraction: float = 0.0
@@ -154,7 +154,7 @@
         if work.job.work_began_ms is None:
             work.job.work_began_ms = self.loop.now_ms
         if not self.mute:
-            fails = self.generator.random() < self.fail_fraction
+            fails = self.rng.random() < self.fail_fraction
             end = AttemptEnd.FAILED if fails else AttemptEnd.ANSWERED
             work_ms = work.job.work_ms * self.slowness
             self.loop.after(work_ms, lambda: self._end(work, end))
@@ -315,7 +315,7 @@
 
 
 def make_targets(
-    loop: EventLoop, number: int, slots: int, generator: random.Random
+    loop: EventLoop, number: int, slots: int, rng: random.Random
 ) -> list[VirtualTarget]:
     """Return healthy targets spread over four failure domains."""
     return [
@@ -328,7 +328,7 @@
                 slots,
             ),
             slots,
-            generator,
+            rng,
         )
         for index in range(number)
     ]
@@ -349,12 +349,12 @@
     demands: Iterable[Demand],
     until_ms: float,
     work_ms: Callable[[random.Random], float],
-    generator: random.Random,
+    rng: random.Random,
 ) -> list[Job]:
     """Return the jobs of all customers in order of arrival."""
     jobs: list[Job] = []
     for demand in demands:
-        now_ms = generator.expovariate(demand.rate_per_s) * 1_000.0
+        now_ms = rng.expovariate(demand.rate_per_s) * 1_000.0
         while now_ms < until_ms:
             jobs.append(
                 Job(
@@ -362,12 +362,12 @@
                     demand.customer,
                     now_ms,
                     now_ms + demand.patience_ms,
-                    work_ms(generator),
+                    work_ms(rng),
                     demand.weight,
                     demand.idempotent,
                 )
             )
-            now_ms += generator.expovariate(demand.rate_per_s) * 1_000.0
+            now_ms += rng.expovariate(demand.rate_per_s) * 1_000.0
     jobs.sort(key=lambda job: job.arrived_ms)
     for number, job in enumerate(jobs, start=1):
         job.request = RequestId(number)
