--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -1,7 +1,7 @@
 """Drive the deciding code of a group coordinator in virtual time.
 
-An event loop, targets that run, shed, fail, slow down or stop answering, and a driver
-that executes a coordinator's decisions. Everything is seeded: runs give the same
+Provides an event loop, targets that run, shed, fail, slow down or stop answering, and a
+driver that executes a coordinator's decisions. Everything is seeded: runs give the same
 figures on any machine.
 """
 
@@ -54,7 +54,7 @@
         self.at(self.now_ms + delay_ms, callback)
 
     def run(self, until_ms: float = float("inf")) -> None:
-        """Run until no callback is left or the time is reached."""
+        """Run callbacks until none remains or the time is reached."""
         while self._heap and self._heap[0][0] <= until_ms:
             self.now_ms, _, callback = heappop(self._heap)
             callback()
@@ -115,7 +115,7 @@
     loop: EventLoop
     target: Target
     slots: int
-    generator: random.Random
+    rng: random.Random
     queues_inside: bool = False
     slowness: float = 1.0
     fail_fraction: float = 0.0
@@ -154,7 +154,7 @@
         if work.job.work_began_ms is None:
             work.job.work_began_ms = self.loop.now_ms
         if not self.mute:
-            fails = self.generator.random() < self.fail_fraction
+            fails = self.rng.random() < self.fail_fraction
             end = AttemptEnd.FAILED if fails else AttemptEnd.ANSWERED
             work_ms = work.job.work_ms * self.slowness
             self.loop.after(work_ms, lambda: self._end(work, end))
@@ -281,7 +281,7 @@
     def _cancel(self, attempt: AttemptId) -> None:
         sent = self._sent.pop(attempt, None)
         if sent is None:
-            return  # it has ended, and the report is already scheduled
+            return  # the attempt has ended and its report is scheduled
         if sent.work is not None:
             sent.target.cancel(sent.work)
         self._loop.after(0.0, lambda: self._ended(attempt, sent, AttemptEnd.SILENT))
@@ -315,7 +315,7 @@
 
 
 def make_targets(
-    loop: EventLoop, number: int, slots: int, generator: random.Random
+    loop: EventLoop, number: int, slots: int, rng: random.Random
 ) -> list[VirtualTarget]:
     """Return healthy targets spread over four failure domains."""
     return [
@@ -328,7 +328,7 @@
                 slots,
             ),
             slots,
-            generator,
+            rng,
         )
         for index in range(number)
     ]
@@ -349,12 +349,12 @@
     demands: Iterable[Demand],
     until_ms: float,
     work_ms: Callable[[random.Random], float],
-    generator: random.Random,
+    rng: random.Random,
 ) -> list[Job]:
     """Return the jobs of all customers in order of arrival."""
     jobs: list[Job] = []
     for demand in demands:
-        now_ms = generator.expovariate(demand.rate_per_s) * 1_000.0
+        now_ms = rng.expovariate(demand.rate_per_s) * 1_000.0
         while now_ms < until_ms:
             jobs.append(
                 Job(
@@ -362,12 +362,12 @@
                     demand.customer,
                     now_ms,
                     now_ms + demand.patience_ms,
-                    work_ms(generator),
+                    work_ms(rng),
                     demand.weight,
                     demand.idempotent,
                 )
             )
-            now_ms += generator.expovariate(demand.rate_per_s) * 1_000.0
+            now_ms += rng.expovariate(demand.rate_per_s) * 1_000.0
     jobs.sort(key=lambda job: job.arrived_ms)
     for number, job in enumerate(jobs, start=1):
         job.request = RequestId(number)
