--- a/benchmarks/placing_trial.py
+++ b/benchmarks/placing_trial.py
@@ -122,7 +122,7 @@
         return (self.on_time + self.late) / max(1, self.request_count)
 
     @property
-    def lost_share(self) -> float:
+    def lost_fraction(self) -> float:
         """Return the fraction neither answered nor refused as not run."""
         return self.lost / max(1, self.request_count)
 
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -126,7 +126,7 @@
     return grouped
 
 
-def share_in_time(jobs: list[Job]) -> float:
+def fraction_in_time(jobs: list[Job]) -> float:
     """Return the fraction of the jobs answered in time."""
     return sum(job.in_time for job in jobs) / max(len(jobs), 1)
 
@@ -144,10 +144,10 @@
     counted = [job for group in chosen for job in group]
     return {
         "requests": float(len(counted)),
-        "worst_share_in_time": min(share_in_time(group) for group in chosen),
-        "share_in_time": share_in_time(counted),
+        "worst_share_in_time": min(fraction_in_time(group) for group in chosen),
+        "share_in_time": fraction_in_time(counted),
         "worst_p99_ms": max(response_p99_ms(group) for group in chosen),
-        "all_in_time": share_in_time(
+        "all_in_time": fraction_in_time(
             [job for group in grouped.values() for job in group]
         ),
     }
--- a/tests/core/test_group_coordinator_load.py
+++ b/tests/core/test_group_coordinator_load.py
@@ -11,12 +11,12 @@
     describe_customers,
     exponential_work,
     five_times_neighbour,
+    fraction_in_time,
     make_driver,
     mixed_work,
     place_by_coordinator,
     place_by_entries,
     serve,
-    share_in_time,
 )
 from benchmarks.virtual import (
     ConstantTargetWeights,
@@ -61,7 +61,7 @@
     driver.submit(burst)
     loop.run()
     assert len(burst) > 2_500
-    assert share_in_time(jobs) == 1.0
+    assert fraction_in_time(jobs) == 1.0
     assert max(job.answered_ms - job.arrived_ms for job in jobs) < 1_000.0
 
 
@@ -136,7 +136,7 @@
     driver.submit(jobs)
     loop.run()
     assert sum(job.work_ms for job in jobs) > 1.5 * 16 * 20_000.0
-    assert share_in_time(lookups) >= 0.999
+    assert fraction_in_time(lookups) >= 0.999
 
 
 @pytest.mark.parametrize("claimed, real, load", [(6, 2, 0.8), (1, 4, 0.6)])
@@ -157,7 +157,7 @@
     loop.run()
     assert [each.limit for each in coordinator.snapshot().targets] == [real] * 8
     assert sum(target.overruns for target in targets) < 0.01 * len(jobs)
-    assert share_in_time(jobs[len(jobs) // 2 :]) == 1.0
+    assert fraction_in_time(jobs[len(jobs) // 2 :]) == 1.0
 
 
 def test_two_coordinators_at_once_share_the_slots():
@@ -172,7 +172,7 @@
         )
         CoordinatorDriver(loop, coordinator, targets).submit(jobs[number::2])
     loop.run()
-    assert share_in_time(jobs) >= 0.999
+    assert fraction_in_time(jobs) >= 0.999
     assert sum(target.overruns for target in targets) < 0.02 * len(jobs)
 
 
@@ -203,4 +203,4 @@
     )
     CoordinatorDriver(loop, coordinator, targets).submit(jobs)
     loop.run()
-    assert share_in_time(jobs) >= 0.999
+    assert fraction_in_time(jobs) >= 0.999
--- a/tests/core/test_placing_load.py
+++ b/tests/core/test_placing_load.py
@@ -75,8 +75,8 @@
     fresh = run_all_seeds(BOOKINGS)["confirm"]
     spread = run_all_seeds(BOOKINGS, Policies.without(["proof-age"]))["confirm"]
     oracle = run_all_seeds(BOOKINGS, oracle=True)["confirm"]
-    avoidable_share = fresh.lost_share - oracle.lost_share
-    assert avoidable_share < 0.75 * (spread.lost_share - oracle.lost_share)
+    avoidable_share = fresh.lost_fraction - oracle.lost_fraction
+    assert avoidable_share < 0.75 * (spread.lost_fraction - oracle.lost_fraction)
 
 
 def test_a_lookup_that_hangs_is_hedged_within_its_latency_objective():
@@ -192,7 +192,7 @@
     """
     gray = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, ending)
     scenario = replace(BOOKINGS, gray=gray)
-    lost = run_all_seeds(scenario)["confirm"].lost_share
-    oracle_lost = run_all_seeds(scenario, oracle=True)["confirm"].lost_share
+    lost = run_all_seeds(scenario)["confirm"].lost_fraction
+    oracle_lost = run_all_seeds(scenario, oracle=True)["confirm"].lost_fraction
     # Two gray failures in three seconds, of which each costs two requests at most.
     assert lost - oracle_lost < 2 * 0.67 / CONFIRM.rate_per_s
