--- a/src/crocusspindle/core/evidence.py
+++ b/src/crocusspindle/core/evidence.py
@@ -29,7 +29,8 @@
 within it."""
 
 RATE_DECAY_STEP_MS = 50.0
-"""Minimum time between decays; more would cost time and change rates by under 1 %."""
+"""Minimum time between decays. Decaying more often takes CPU time and changes the rates
+by less than 1 %."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reference:
-    """Hold what a group has learnt of healthy work, and the ejection threshold."""
+    """Hold what a group has learnt of healthy work, and the ejection threshold.
+
+    ``mild`` tests for targets that lose a small fraction of healthy work, ``hard`` for
+    those that lose a large one (``mild_loss_fraction``, ``hard_loss_fraction``).
+    """
 
     threshold_nats: float
     healthy_rate: float
@@ -68,7 +73,8 @@
     """Sum the steps of a sequential test since the sum was last 0, never below 0.
 
     Because of the lower bound, a target that was healthy for a day is detected as
-    quickly as a new one.
+    quickly as a new one. ``total`` sums the observed values, and ``latency_ms`` the
+    latencies, of the ``samples`` steps since then.
     """
 
     __slots__ = ("_cap_nats", "latency_ms", "nats", "samples", "since_ms", "total")
@@ -93,7 +99,10 @@
         now_ms: float,
         floor_nats: float = 0.0,
     ) -> None:
-        """Add a step, the observed value that it is based on and the latency."""
+        """Add a step, the observed value that it is based on and the latency.
+
+        ``value`` is 1 for a failure and 0 for a success, or the cumulative hazard.
+        """
         nats = self.nats + step_nats
         if nats <= floor_nats:
             if self.samples:
@@ -143,7 +152,7 @@
     def observe(
         self, sample: Sample, hazard: float, reference: Reference, now_ms: float
     ) -> None:
-        """Record one ended attempt, whose latency has this hazard."""
+        """Record one ended attempt, whose latency has this cumulative hazard."""
         outcome = sample.outcome
         self._remove_outstanding(sample, reference, now_ms)
         self._update_silence(
@@ -172,9 +181,9 @@
     ) -> None:
         """Remove the evidence that the request contributed while outstanding.
 
-        Its end contributes the same evidence. Counted twice until the next tick,
-        typical requests that take slightly long would cause eight times as many false
-        alarms.
+        Its end contributes the same evidence. If it counted twice until the next
+        tick, typical requests that take slightly long would cause eight times as many
+        false alarms.
         """
         age_ms = sample.latency_ms - (now_ms - self._outstanding_at_ms)
         if age_ms <= 0.0 or not self._outstanding_slow_nats:
--- a/src/crocusspindle/core/fair_queue.py
+++ b/src/crocusspindle/core/fair_queue.py
@@ -25,11 +25,13 @@
 
 _MIN_WEIGHT_TO_MEAN: Final = 0.1
 """Minimum weight, as a fraction of the mean weight of the customers with queued
-requests. In a shortage it serves the smallest customers in full. Rate limits, enforced
-elsewhere, bound their demand, and together they gain at most a tenth of the service."""
+requests. In a shortage this minimum serves the smallest customers in full. Rate limits,
+enforced elsewhere, bound their demand, and together they gain at most a tenth of the
+service."""
 
 _MAX_IDLE_FLOWS: Final = 256
-"""More idle flows are swept, so that memory is proportional to the queue."""
+"""Idle flows above this number are dropped, so that memory is proportional to the
+queue."""
 
 
 @dataclass(slots=True)
--- a/src/crocusspindle/core/floor_watch.py
+++ b/src/crocusspindle/core/floor_watch.py
@@ -79,10 +79,10 @@
     def may_eject(self, trackers: Collection[TargetTracker]) -> bool:
         """Return True if suspicion may eject one more target.
 
-        While slots are short, targets on trial count as ejected: they run one request
-        at a time, and a service with most targets on trial would refuse its callers
-        while slots idle. With slots to spare, a suspect target fails requests, and its
-        ejection fails none.
+        While slots are short, targets on trial count as ejected: they run few
+        requests at a time, and a service with most targets on trial would refuse its
+        callers while slots idle. With slots to spare, a suspect target fails requests,
+        and its ejection fails none.
         """
         ready, ejected = _ready_and_ejected(trackers)
         if self._slots_short:
--- a/src/crocusspindle/core/latency_reference.py
+++ b/src/crocusspindle/core/latency_reference.py
@@ -28,9 +28,10 @@
 class LatencyReference:
     """Estimate the probability that a healthy target exceeds a latency.
 
-    ``hazard`` is -ln of that probability. For healthy work it is exponentially
-    distributed with mean 1 whatever the distribution of latencies, so no assumption
-    about the callers' work is needed and uploads and lookups may be mixed.
+    ``hazard`` is -ln of that probability, the cumulative hazard. For healthy work it
+    is exponentially distributed with mean 1 whatever the distribution of latencies, so
+    no assumption about the callers' work is needed and uploads and lookups may be
+    mixed.
     """
 
     def __init__(self, cap_nats: float, decay_ms: float) -> None:
--- a/src/crocusspindle/core/lenders.py
+++ b/src/crocusspindle/core/lenders.py
@@ -1,4 +1,9 @@
-"""Estimate the tokens of a customer's other holders and choose whom to borrow from."""
+"""Estimate the tokens of a customer's other holders and choose whom to borrow from.
+
+A holder that lacks tokens borrows them from another one. If no other has enough, it
+collects fractions of a token from several in its own bucket. For a node without a share
+a holder gathers the token: it borrows from the others what it lacks, then lends it.
+"""
 
 import math
 from collections.abc import Sequence
@@ -83,6 +88,8 @@
     """Track the other holders of one customer.
 
     ``loan_pool`` holds what a node without a share has borrowed and not yet spent.
+    Before ``top_up_at_ms`` no idle tokens are borrowed. Until ``collects_until_ms`` the
+    first holder keeps its fractions.
     """
 
     __slots__ = ("_lender_states", "collects_until_ms", "loan_pool", "top_up_at_ms")
--- a/src/crocusspindle/core/placement_queue.py
+++ b/src/crocusspindle/core/placement_queue.py
@@ -22,9 +22,9 @@
 
 MIN_WAIT_MS: Final = 40.0
 RETRY_MIN_MS: Final = 100.0
-IN_TIME_QUANTILE: Final = 0.75
-"""Quantile of the latency that must fit before the deadline: a queued request is
-refused when three in four of its kind would not finish in time."""
+DEADLINE_QUANTILE: Final = 0.75
+"""Quantile of the latency that must fit before the deadline: a late request is queued
+only if three in four of its kind would still finish."""
 
 
 def refused_as_full(wait_ms: float) -> PlacementRefused:
@@ -87,7 +87,7 @@
         if not self._policies.has(Policy.LATE_QUEUEING):
             return 0.0
         work_ms = (
-            sample.quantile_ms(IN_TIME_QUANTILE)
+            sample.quantile_ms(DEADLINE_QUANTILE)
             if sample.has_enough_samples
             else sample.typical_ms
         )
--- a/src/crocusspindle/core/placement_request.py
+++ b/src/crocusspindle/core/placement_request.py
@@ -12,9 +12,9 @@
     """Request a target for one attempt.
 
     `aim_ms` is what is left of the route's latency objective. A `hedge` is a retry
-    whose first attempt still runs. A `counted` request was sent to another placer
-    before, which may be slow rather than lost. A `trial` is a held request's next
-    attempt.
+    whose first attempt still runs. A `counted` request may already be in the retry
+    budget: another placer got it before and may be slow rather than lost. A `trial` is
+    a held request's next attempt.
     """
 
     sender: HostId
--- a/src/crocusspindle/core/policies.py
+++ b/src/crocusspindle/core/policies.py
@@ -13,7 +13,7 @@
 
 
 class Policy(Enum):
-    """Name one mechanism."""
+    """Name one mechanism; the values are the names used in settings."""
 
     HEDGING = "hedging"
     SUCCESS_AGE = "proof-age"
--- a/src/crocusspindle/core/quota_keeper.py
+++ b/src/crocusspindle/core/quota_keeper.py
@@ -5,10 +5,14 @@
 although the bucket was handed over properly.
 
 At most one node admits a customer at any time. A keeper acts only while its freshness
-confirmation of the view is younger than the fence. Its successor opens the bucket once
-every node that may have kept it has released it, or has been silent for a whole fence
-since the successor received the view that removed the previous keeper. A bucket without
-requests fills meanwhile: it opens with the tokens that no other node can have spent.
+confirmation of the view is younger than the fence, a length of time (``fence_ms``). Its
+successor opens the bucket once every node that may have kept it has released it, or has
+been silent for the length of the fence since the successor received the view that
+removed the previous keeper (``previous_holder`` of the role). A bucket without requests
+fills meanwhile: it opens with the tokens that no other node can have spent.
+
+A view also lists its fenced entries: removed members that may still act on an older
+view.
 """
 
 import math
@@ -49,9 +53,9 @@
     """Hold one customer's bucket and the releases that it needs before it opens.
 
     ``tokens`` is the content of the closed bucket. ``successor_since_ms`` is when this
-    node became the successor. ``cleared`` holds when removed members released the
-    customer, ``previous_released_ms`` when the previous keeper, still a member, did.
-    Up to the view ``barred_to_view`` the bucket stays closed.
+    node became the successor. ``released_at_ms`` holds when removed members released
+    the customer, ``previous_released_ms`` when the previous keeper, still a member,
+    did. Up to the view ``barred_to_view`` the bucket stays closed.
     """
 
     bucket: WindowBucket
@@ -60,7 +64,7 @@
     successor_since_ms: float = math.nan
     previous_released_ms: float = math.nan
     barred_to_view: int = -1
-    cleared: dict[ViewEntryKey, float] = field(default_factory=dict)
+    released_at_ms: dict[ViewEntryKey, float] = field(default_factory=dict)
 
     def close(self) -> None:
         """Stop admitting; all releases are needed again before the next opening."""
@@ -126,9 +130,9 @@
         # Another node keeps these customers now, even if it requests no release. A
         # bucket left open would refill for the time in which the other one spends.
         for customer, account in self._accounts.items():
-            account.cleared = {
+            account.released_at_ms = {
                 key: at_ms
-                for key, at_ms in account.cleared.items()
+                for key, at_ms in account.released_at_ms.items()
                 if key in self._fenced_since_ms
             }
             if account.opened and not self.ranks_first(customer):
@@ -170,11 +174,11 @@
             tenure = self._history.last_tenure(customer, account.barred_to_view)
             account.successor_since_ms = now_ms if tenure is None else tenure.since_ms
             account.tokens = 0.0
-        done = account.cleared.keys() | self.expired_keys(now_ms)
+        done = account.released_at_ms.keys() | self.expired_keys(now_ms)
         waiting = [entry for entry in rank.removed_members if entry.key not in done]
         timed_out = now_ms - account.successor_since_ms > self._fence_ms
-        cleared = timed_out or not math.isnan(account.previous_released_ms)
-        if rank.previous_holder is not None and not cleared:
+        previous_released = timed_out or not math.isnan(account.previous_released_ms)
+        if rank.previous_holder is not None and not previous_released:
             waiting.append(rank.previous_holder)
         return waiting
 
@@ -244,7 +248,8 @@
         if not math.isnan(account.previous_released_ms):
             exclusive_ms = max(exclusive_ms, account.previous_released_ms)
         ends = (
-            account.cleared.get(key, ends_ms) for key, ends_ms in removed_end_ms.items()
+            account.released_at_ms.get(key, ends_ms)
+            for key, ends_ms in removed_end_ms.items()
         )
         return max(exclusive_ms, *ends) if removed_end_ms else exclusive_ms
 
@@ -259,7 +264,7 @@
         """Record that a node released the customer, with the tokens left."""
         account = self._account(customer)
         if by in self._fenced_since_ms:
-            account.cleared[by] = now_ms
+            account.released_at_ms[by] = now_ms
         else:
             account.previous_released_ms = now_ms
         if not account.opened:
--- a/src/crocusspindle/core/retry_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -21,7 +21,7 @@
 what its predecessors used."""
 
 SLOTS: Final = 20
-"""Time slots of a window in the counts that placers publish to one another."""
+"""Time slices of a window in the counts that placers publish to one another."""
 
 KNOWN_PREDECESSOR_MS: Final = 1_500.0
 """Age of the last record received at which a successor still knows the predecessor's
@@ -184,7 +184,7 @@
             number = int((now_ms - time_ms) / length_ms)
             counts.setdefault(number, [0, 0])[column] += 1
     return tuple(
-        # A slot counts as of its end, and so expires too late rather than too early.
+        # A slice counts as of its end, and so expires too late rather than too early.
         Slot(now_ms - number * length_ms, *counts[number])
         for number in sorted(counts)
     )
--- a/src/crocusspindle/core/retry_record.py
+++ b/src/crocusspindle/core/retry_record.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """Hold the counts of one time slot of the window, up to its end."""
+    """Hold the counts of one time slice of the window, up to its end."""
 
     ended_ms: float
     requests: int
@@ -24,7 +24,7 @@
 
     @property
     def newest_ms(self) -> float:
-        """Return the end of the newest slot."""
+        """Return the end of the newest time slice."""
         return max((slot.ended_ms for slot in self.slots), default=-math.inf)
 
     def requests_since(self, since_ms: float) -> int:
--- a/src/crocusspindle/core/service_placer.py
+++ b/src/crocusspindle/core/service_placer.py
@@ -51,7 +51,8 @@
 from crocusspindle.ids import NO_CONTENT, ContentDigest, GrantId, HostId
 
 REFRESH_MS: Final = 5.0
-"""Longest delay until a condition that arises by time alone is noticed."""
+"""Minimum interval between checks for what becomes due by time alone: the end of an
+ejection, the expiry of a grant, a hang."""
 
 
 class ServicePlacer:
@@ -198,14 +199,14 @@
     ) -> PlacementRefused | QueuedRequest:
         if placement_request.trial:
             return PlacementRefused("held", RETRY_MIN_MS)
-        if not self._any_usable_by(placement_request, now_ms):
-            return self._refuse_all_ejected(placement_request, now_ms)
+        if not self._any_healthy_for(placement_request, now_ms):
+            return self._refuse_without_target(placement_request, now_ms)
         sample = self._sample(placement_request)
         return self._queue.enqueue(
             placement_request, sample, self._open_slots(sample.typical_ms), now_ms
         )
 
-    def _any_usable_by(
+    def _any_healthy_for(
         self, placement_request: PlacementRequest, now_ms: float
     ) -> bool:
         return any(
@@ -226,7 +227,7 @@
             and tracker.listed.readiness is Readiness.READY
         )
 
-    def _refuse_all_ejected(
+    def _refuse_without_target(
         self, placement_request: PlacementRequest, now_ms: float
     ) -> PlacementRefused:
         ejections_end_ms = [
--- a/src/crocusspindle/core/target_choice.py
+++ b/src/crocusspindle/core/target_choice.py
@@ -234,6 +234,8 @@
             ]
             targets = due or targets
 
+        # Of targets that cost the same, an idempotent first attempt tries that with the
+        # oldest last success: a success renews it, and a failure can be retried.
         def rank(tracker: TargetTracker) -> tuple[float, float]:
             since_ms = tracker.last_success_ms if explores else tracker.last_used_ms
             return (cost_ms(tracker, context, self._cost_terms), since_ms)
--- a/src/crocusspindle/core/target_tracker.py
+++ b/src/crocusspindle/core/target_tracker.py
@@ -11,7 +11,22 @@
 
 
 class AttemptOutcome(Enum):
-    """State how one attempt ended, as its sender saw it."""
+    """State how one attempt ended, as its sender saw it.
+
+    The values are the names used in logs, metrics and refusals.
+
+    - ``ANSWERED``: a response that is no server error; a success must be valid.
+    - ``ERROR``: a server error, or a status that says "not run" without the target's
+      header that guarantees it.
+    - ``BROKEN``: the connection broke, or the response was invalid.
+    - ``SILENT``: no response before the deadline.
+    - ``UNREACHED``: no connection before the timeout.
+    - ``CLOSED``: the connection failed, as when the port refused it.
+    - ``SHED``: the target refused the request and guarantees that it did not run it.
+    - ``MISDIRECTED``: another target runs at this address.
+    - ``ABANDONED``: the sender ended the attempt before its outcome was known.
+    - ``CRASHED``: the connection broke, and the port refused the next one.
+    """
 
     ANSWERED = "answered"
     ERROR = "error"
@@ -50,7 +65,7 @@
 
 
 class EjectionState(Enum):
-    """State what work a target gets."""
+    """State what work a target gets; the values are the names used in logs."""
 
     HEALTHY = "well"
     TRIAL = "trial"
@@ -70,10 +85,9 @@
 request."""
 
 EJECTION_MS: Final = 2_500.0
-"""Length of the first ejection. Gray failures last from two to twenty seconds, so it
-doubles each time the target is still gray when it ends: ending it can fail a
-request that must not be retried, while a longer ejection costs only capacity that is
-spare at a third of the load."""
+"""Length of the first ejection; each relapse doubles the next. Gray failures last two
+to twenty seconds. Ending an ejection early can fail a request that must not be retried;
+ending it late costs only capacity that is spare at a third of the load."""
 
 EJECTION_MAX_MS: Final = 10_000.0
 RELAPSE_MS: Final = 6_000.0
@@ -83,7 +97,7 @@
 """Length of an ejection for failed connections. It is short: if the target is still
 unreachable when it ends, one caller loses the time to connect and no request runs."""
 
-SUSPECT_MAX_NATS: Final = 9.0
+MAX_FAILURE_NATS: Final = 9.0
 """Cap on evidence against a target that may not be ejected: ten answers clear it."""
 
 TRIAL_NATS: Final = 2.0
@@ -102,8 +116,8 @@
 
 AGREEMENT_MS: Final = 2_000.0
 """Time within which failures to connect by several senders, with no answer in between,
-count together. Enough of them to outweigh bad paths are attributed to the target; that
-of a single sender is attributed to its path."""
+count together. If so many senders fail that bad paths are an unlikely cause, the target
+is ejected; the failure of a single sender is attributed to its path."""
 
 SHED_PAUSE_MS: Final = 80.0
 """Pause after a full target sheds a request: a fraction of its typical latency."""
@@ -126,12 +140,13 @@
 cold or slow target would get no work that shows that it has become fast."""
 
 SUSPICIOUS_AGE_NATS: Final = 4.0
-"""Age that one healthy request in fifty reaches, if it runs alone: the target gets no
-new work while others can accept it."""
+"""Suspicion from the ages of running work at which a target gets no new work while
+others can accept it. One healthy request in fifty reaches it, if it runs alone."""
 
 HUNG_NATS: Final = 9.0
-"""One healthy target in 8,000 reaches this, as do two requests older than all of the
-last two hundred. It ejects the target before its callers' deadlines."""
+"""Evidence of failures and of the ages of running work, together, that ejects a target
+before its callers' deadlines. Ages alone reach it on one healthy target in 8,000, or
+with two requests older than each of the last two hundred."""
 
 
 @dataclass(slots=True)
@@ -337,7 +352,7 @@
         self.last_failed_ms = max(self.last_failed_ms, failed_ms)
         if self.ejection_state is EjectionState.EJECTED:
             return
-        self.failure_nats = min(SUSPECT_MAX_NATS, self.failure_nats + failure_nats)
+        self.failure_nats = min(MAX_FAILURE_NATS, self.failure_nats + failure_nats)
         limit_nats = (
             TRIAL_NATS if self.ejection_state is EjectionState.TRIAL else EJECT_NATS
         )
--- a/src/crocusspindle/core/unreached_share.py
+++ b/src/crocusspindle/core/unreached_share.py
@@ -7,9 +7,9 @@
 import math
 from typing import Final
 
-INITIAL_SHARE: Final = 0.03
-"""Initial estimate: two senders that agree then suffice to eject the target, since both
-paths would be bad once in a thousand times."""
+MIN_SHARE: Final = 0.03
+"""Lowest share assumed, and the initial estimate: two senders that agree then suffice
+to eject the target, since both paths would be bad once in a thousand times."""
 
 SAMPLE_WEIGHT: Final = 0.02
 """Weight of the newest attempt: the last fifty or so count, about one second of
@@ -20,7 +20,7 @@
     """Track the share of attempts that could not reach a target."""
 
     def __init__(self) -> None:
-        self._share = INITIAL_SHARE
+        self._share = MIN_SHARE
 
     def record(self, unreached: bool) -> None:
         """Record whether one attempt failed to reach its target."""
@@ -29,4 +29,4 @@
     @property
     def unreached_nats(self) -> float:
         """Return the evidence against a target that one sender cannot reach."""
-        return -math.log(max(INITIAL_SHARE, self._share))
+        return -math.log(max(MIN_SHARE, self._share))
--- a/src/crocusspindle/core/window_bucket.py
+++ b/src/crocusspindle/core/window_bucket.py
@@ -1,15 +1,15 @@
 """Hold a customer's token bucket over a sliding window.
 
-A customer's bound holds for any span up to a window: rate times s plus the burst in a
-span of s seconds. A plain token bucket never forgets an admission: a customer that
-stays over its rate gets the burst once and then only the rate, though its bound allows
-the burst again after a window. A customer over its rate for many seconds, as after its
+In any span of s seconds, up to a window, a customer may send rate times s requests plus
+the burst. A plain token bucket never forgets an admission: a customer that stays over
+its rate gets the burst once and then only the rate, though its bound allows the burst
+again after a window. A customer over its rate for many seconds, as after its
 limit was lowered, would be refused requests within its bound: a sixth of the bound for
 a burst of one second's rate and a window of five seconds.
 
 Admissions older than the window are therefore ignored. The bound holds within any
-window, also across two keepers: the requests that one admits in s seconds and those
-that the next one, which opens empty, refills in the rest of the window make the bound.
+window, also across two keepers: the requests that one keeper admits and the tokens that
+the next one, which opens empty, refills in the rest of the window add up to the bound.
 """
 
 from collections import deque
@@ -27,6 +27,7 @@
 
     def __init__(self, window_ms: float) -> None:
         self._window_ms = window_ms
+        # Time steps: time of the first and of the last admission (ms), tokens spent.
         self._admissions: deque[tuple[float, float, float]] = deque()
 
     def open(self, tokens: float, rule: CustomerRule, now_ms: float) -> None:
