--- a/src/crocusspindle/core/fair_queue.py
+++ b/src/crocusspindle/core/fair_queue.py
@@ -20,7 +20,7 @@
 _IDLE_CREDIT: Final = 4.0
 """Requests by which a customer that was idle may exceed its share. At one request a
 second, two may arrive close together, and the second would wait a second behind the
-backlog of others. A credit of eight gains nothing more; with four, eight such customers
+backlog of others. A credit of eight has no further benefit; at four, eight such customers
 delay the others by 0.1 s once."""
 
 _MIN_WEIGHT_TO_MEAN: Final = 0.1
--- a/src/crocusspindle/core/lenders.py
+++ b/src/crocusspindle/core/lenders.py
@@ -88,8 +88,9 @@
     """Track the other holders of one customer.
 
     ``loan_pool`` holds what a node without a share has borrowed and not yet spent.
-    Before ``top_up_at_ms`` no idle tokens are borrowed. Until ``collects_until_ms`` the
-    first holder keeps its fractions.
+    Before ``top_up_at_ms`` this member borrows no idle tokens to balance the shares.
+    Until ``collects_until_ms`` it collects, and keeps its fractions if it is the first
+    of the holders.
     """
 
     __slots__ = ("_lender_states", "collects_until_ms", "loan_pool", "top_up_at_ms")
--- a/src/crocusspindle/core/window_bucket.py
+++ b/src/crocusspindle/core/window_bucket.py
@@ -3,9 +3,9 @@
 In any span of s seconds, up to a window, a customer may send rate times s requests plus
 the burst. A plain token bucket never forgets an admission: a customer that stays over
 its rate gets the burst once and then only the rate, though its bound allows the burst
-again after a window. A customer over its rate for many seconds, as after its
-limit was lowered, would be refused requests within its bound: a sixth of the bound for
-a burst of one second's rate and a window of five seconds.
+again after a window. A customer over its rate for many seconds, as after its limit was
+lowered, would be refused requests within its bound: a sixth of the bound for a burst of
+one second's rate and a window of five seconds.
 
 Admissions older than the window are therefore ignored. The bound holds within any
 window, also across two keepers: the requests that one keeper admits and the tokens that
