--- a/src/crocusspindle/core/fair_queue.py
+++ b/src/crocusspindle/core/fair_queue.py
@@ -20,8 +20,8 @@
 _IDLE_CREDIT: Final = 4.0
 """Requests by which a customer that was idle may exceed its share. At one request a
 second, two may arrive close together, and the second would wait a second behind the
-backlog of others. A credit of eight has no further benefit; at four, eight such customers
-delay the others by 0.1 s once."""
+backlog of others. A credit of eight has no further benefit; at four, eight such
+customers delay the others by 0.1 s once."""
 
 _MIN_WEIGHT_TO_MEAN: Final = 0.1
 """Minimum weight, as a fraction of the mean weight of the customers with queued
