--- a/benchmarks/false_alarms.py
+++ b/benchmarks/false_alarms.py
@@ -69,6 +69,7 @@
         peaks = self._peaks[returned]
         self._nats[returned] = 0.0
         self._peaks[returned] = 0.0
+        # Lower peaks are not counted: the counts hold for levels from 4 nats on.
         high = peaks[peaks >= 4.0]
         bins = np.minimum((high / BIN_NATS).astype(np.int64), BINS - 1)
         self.ended += np.bincount(bins, minlength=BINS)
--- a/src/crocusspindle/gateway/attempt_runner.py
+++ b/src/crocusspindle/gateway/attempt_runner.py
@@ -23,9 +23,8 @@
 often enough, and a request whose target hangs has no other way to complete."""
 
 MAX_TARGETS_TRIED: Final = 4
-"""Targets tried that refuse a request or are unreachable, before the caller gets the
-response that it was not run. If half of them refuse, one request in sixteen meets
-four."""
+"""Targets that a request is sent to, if none runs it, before the caller is told so. If
+half of the targets refuse, one request in sixteen meets four that do."""
 
 
 class AttemptRunner:
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -25,7 +25,10 @@
 
 
 class CrashSharing(Service):
-    """Keep the crash tables of all hosts in agreement."""
+    """Keep the crash tables of all hosts in agreement.
+
+    Registered in the kernel as ``crashes``.
+    """
 
     name: ClassVar[str] = "crashes"
     needs: ClassVar[tuple[str, ...]] = ("exchange", "knowledge")
--- a/src/crocusspindle/gateway/entry.py
+++ b/src/crocusspindle/gateway/entry.py
@@ -74,6 +74,7 @@
         self._metrics = metrics
         self._log = Logger("entry")
         self.leaving = False
+        # Requests being processed or responded to; a drain waits until there are none.
         self.running = 0
 
     async def start(self) -> None:
@@ -159,9 +160,9 @@
         return refusal_response(refusal, processed.request_id, self._dialect)
 
     async def _spend(self, context: RequestContext, customer: CustomerRule) -> None:
-        max_wait_ms = context.route.aim_ms * MAX_TOKEN_WAIT_FRACTION
+        wait_limit_ms = context.route.aim_ms * MAX_TOKEN_WAIT_FRACTION
         wait_until_ms = context.began_ms + context.route.aim_ms * KEEPER_WAIT_FRACTION
-        decision = await self._quota.spend(customer, max_wait_ms, wait_until_ms)
+        decision = await self._quota.spend(customer, wait_limit_ms, wait_until_ms)
         if isinstance(decision, OverRate):
             raise Refusal(429, "rate", decision.retry_after_ms)
         if not isinstance(decision, Admitted):
--- a/src/crocusspindle/gateway/fleet_state.py
+++ b/src/crocusspindle/gateway/fleet_state.py
@@ -60,6 +60,7 @@
     """Hold configuration, targets, view, open nodes and crash records.
 
     Configuration, targets and view carry the time of their last confirmation.
+    Registered in the kernel as ``knowledge``.
     """
 
     name: ClassVar[str] = "knowledge"
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -40,8 +40,10 @@
 from crocusspindle.log_lines import Logger, log_state_change
 
 PROCESS_INTERVAL_S: Final = 0.02
+"""Interval at which queues are processed while requests wait."""
+
 IDLE_PROCESS_INTERVAL_S: Final = 0.1
-"""Interval at which queues are processed if no attempt ends meanwhile."""
+"""Interval at which queues are processed while no request waits."""
 
 
 class Placers(Service):
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -27,9 +27,12 @@
 from crocusspindle.log_lines import Logger, log_state_change
 
 REPLY_TIMEOUT_S: Final = 0.09
-"""Time without a reply after which two messages were lost or the peer is down."""
+"""Silence of a peer after which a request is not sent again. By then the exchange has
+sent three copies, one every `RESEND_S`: two may be lost, or the peer is down."""
 
 PLACER_SUSPECT_MS: Final = 1_500.0
+"""Time for which a placer that did not reply is skipped."""
+
 FALLBACK_HEDGE_MS: Final = 1_000.0
 
 
--- a/src/crocusspindle/gateway/platform_reader.py
+++ b/src/crocusspindle/gateway/platform_reader.py
@@ -79,7 +79,10 @@
 
 
 class PlatformReader(Service):
-    """Follow the three tables while reads are requested."""
+    """Follow the three tables while reads are requested.
+
+    Registered in the kernel as ``reading``.
+    """
 
     name: ClassVar[str] = "reading"
     needs: ClassVar[tuple[str, ...]] = ("knowledge",)
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -31,7 +31,8 @@
 REPLY_TIMEOUT_S: Final = 0.09
 RELEASE_TIMEOUT_S: Final = 0.1
 RETRY_INTERVAL_S: Final = 0.06
-"""Delay after which a starting keeper or a view in transit is available."""
+"""Delay between attempts to spend at a keeper. After it, a starting keeper or a view in
+transit is available."""
 
 MIN_ATTEMPTS: Final = 2
 
@@ -177,8 +178,8 @@
                 continue
             # Keepers that have just started hold no tokens yet, and all callers of a
             # fleet that was down retry at once.
-            limit_ms = max(wait_limit_ms, wait_until_ms - now_ms())
-            message = SpendAsk(rule.customer, round(limit_ms))
+            extended_wait_limit_ms = max(wait_limit_ms, wait_until_ms - now_ms())
+            message = SpendAsk(rule.customer, round(extended_wait_limit_ms))
             reply = await self._exchange.request(
                 to, message, REPLY_TIMEOUT_S, 2 * REPLY_TIMEOUT_S
             )
--- a/src/crocusspindle/gateway/target_client.py
+++ b/src/crocusspindle/gateway/target_client.py
@@ -32,7 +32,8 @@
     aiohttp.ClientPayloadError,
 )
 CRASH_CHECK_S: Final = 0.1
-"""A running target accepts a connection within a few milliseconds."""
+"""Timeout of the connection that tells whether a target's process has exited. A running
+target accepts a connection within a few milliseconds."""
 
 SERVER_ERROR: Final = 500
 MISDIRECTED: Final = 421
--- a/src/crocusspindle/losses.py
+++ b/src/crocusspindle/losses.py
@@ -15,7 +15,7 @@
 
 ENDED: Final = "request ended"
 REFUSED: Final = "request refused"
-SUCCESS: Final = "2"
+SUCCESS_PREFIX: Final = "2"
 LATE: Final = "late"
 CLIENT_ERRORS: Final = frozenset({"400", "401", "403", "404", "413", "431"})
 """Outcomes of invalid requests, which don't count as losses."""
@@ -114,7 +114,7 @@
 
 
 def _reason(entry: dict[str, Any], outcome: str) -> str | None:
-    if outcome.startswith(SUCCESS):
+    if outcome.startswith(SUCCESS_PREFIX):
         aim_ms = entry.get("aim_ms")
         late = aim_ms is not None and entry.get("took_ms", 0) > aim_ms
         return LATE if late else None
--- a/src/crocusspindle/services/coordinator.py
+++ b/src/crocusspindle/services/coordinator.py
@@ -61,7 +61,10 @@
 
 
 class CoordinatorService(Service):
-    """Queue, place and dispatch requests that entries hand over."""
+    """Queue, place and dispatch requests that entries hand over.
+
+    Registered in the kernel as ``home``.
+    """
 
     name = "home"
     needs = ("control", "peers")
--- a/tests/gateway/test_limited_targets.py
+++ b/tests/gateway/test_limited_targets.py
@@ -57,7 +57,7 @@
 
 
 def max_in_a_window(fleet: Fleet, from_s: float) -> int:
-    """Return a limited target's maximum of requests in a window that begins later."""
+    """Return the most requests a limited target got in a window begun after from_s."""
     maximum = 0
     for target in fleet.targets[:LIMITED_TARGETS]:
         times = target.arrival_times_s
