--- a/src/crocusspindle/gateway/target_client.py
+++ b/src/crocusspindle/gateway/target_client.py
@@ -232,6 +232,8 @@
         return None
 
     def _is_valid_success(self, response: aiohttp.ClientResponse) -> bool:
+        # A success without the target's stamp, or with an encoded body, is taken for
+        # one that the target did not send.
         return (
             self._dialect.target_stamp in response.headers
             and "Content-Encoding" not in response.headers
