--- a/src/crocusspindle/gateway/target_client.py
+++ b/src/crocusspindle/gateway/target_client.py
@@ -32,7 +32,8 @@
     aiohttp.ClientPayloadError,
 )
 CRASH_CHECK_S: Final = 0.1
-"""A running target accepts a connection within a few milliseconds."""
+"""Timeout of the connection that tells whether a target's process has exited. A running
+target accepts a connection within a few milliseconds."""
 
 SERVER_ERROR: Final = 500
 MISDIRECTED: Final = 421
@@ -231,6 +232,8 @@
         return None
 
     def _is_valid_success(self, response: aiohttp.ClientResponse) -> bool:
+        # A success without the target's stamp, or with an encoded body, is taken for
+        # one that the target did not send.
         return (
             self._dialect.target_stamp in response.headers
             and "Content-Encoding" not in response.headers
