--- a/src/crocusspindle/core/placement_queue.py
+++ b/src/crocusspindle/core/placement_queue.py
@@ -115,7 +115,7 @@
             return True
         return self._load.spare_per_ms(open_slots, now_ms) > 0.0
 
-    def can_finish_in_time(
+    def can_meet_deadline(
         self, waiting: QueuedRequest, open_slots: float, now_ms: float
     ) -> bool:
         """Return True if a request may still be served before its deadline.
--- a/src/crocusspindle/core/retry_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from crocusspindle.core.retry_record import RetryRecord, Slot
+from crocusspindle.core.retry_record import RetryRecord, TimeSlice
 
 EXTRA_FRACTIONS: Final = (0.7, 0.12, 0.05)
 """Fractions of the fixed allowance that placers use, by rank for the service. Nodes
@@ -177,7 +177,7 @@
     retries: Iterable[float],
     length_ms: float,
     now_ms: float,
-) -> tuple[Slot, ...]:
+) -> tuple[TimeSlice, ...]:
     counts: dict[int, list[int]] = {}
     for column, times in enumerate((requests, retries)):
         for time_ms in times:
@@ -185,6 +185,6 @@
             counts.setdefault(number, [0, 0])[column] += 1
     return tuple(
         # A slice counts as of its end, and so expires too late rather than too early.
-        Slot(now_ms - number * length_ms, *counts[number])
+        TimeSlice(now_ms - number * length_ms, *counts[number])
         for number in sorted(counts)
     )
--- a/src/crocusspindle/core/retry_record.py
+++ b/src/crocusspindle/core/retry_record.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Slot:
+class TimeSlice:
     """Hold the counts of one time slice of the window, up to its end."""
 
     ended_ms: float
@@ -20,7 +20,7 @@
 
     origin: str
     number: int
-    slots: Sequence[Slot]
+    slots: Sequence[TimeSlice]
 
     @property
     def newest_ms(self) -> float:
--- a/src/crocusspindle/core/service_placer.py
+++ b/src/crocusspindle/core/service_placer.py
@@ -42,10 +42,10 @@
 from crocusspindle.core.target_tracker import (
     HUNG_NATS,
     AttemptOutcome,
-    AttemptResult,
     EjectionState,
     Grant,
     TargetTracker,
+    TrackedAttempt,
 )
 from crocusspindle.core.unreached_share import UnreachedShare
 from crocusspindle.ids import NO_CONTENT, ContentDigest, GrantId, HostId
@@ -362,12 +362,12 @@
         sender: HostId,
         latency_ms: float,
         now_ms: float,
-    ) -> AttemptResult:
+    ) -> TrackedAttempt:
         may_eject = self._floor.may_eject(self._trackers.values())
         unreached_nats = self._unreached.unreached_nats
         if grant is None:
             began_ms = now_ms - latency_ms
-            return AttemptResult(
+            return TrackedAttempt(
                 outcome, sender, began_ms, now_ms, 1.0, 0.0, unreached_nats, may_eject
             )
         slowness = latency_ms / max(1.0, grant.sample.typical_ms)
@@ -375,7 +375,7 @@
         if not self._policies.has(Policy.HANG_EVIDENCE):
             age_nats = 0.0
         began_ms = grant.began_ms
-        return AttemptResult(
+        return TrackedAttempt(
             outcome,
             sender,
             began_ms,
@@ -419,7 +419,7 @@
             if free and self._queue.may_start(waiting, slots, now_ms):
                 waiting.settled = self._place(waiting.request, now_ms)
                 free = waiting.settled is None or self._any_free(now_ms)
-            in_time = self._queue.can_finish_in_time(waiting, slots, now_ms)
+            in_time = self._queue.can_meet_deadline(waiting, slots, now_ms)
             if waiting.settled is None and not in_time:
                 waiting.settled = refused_as_full(self._typical_ms(waiting.request))
         self._queue.drop_settled()
--- a/src/crocusspindle/core/target_tracker.py
+++ b/src/crocusspindle/core/target_tracker.py
@@ -169,7 +169,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptResult:
+class TrackedAttempt:
     """Describe how one attempt ended, compared with typical work of its kind.
 
     `slowness` is the ratio of its latency to the typical one, `age_nats` is -ln of the
@@ -279,7 +279,7 @@
         for grant_id in expired:
             del self.grants[grant_id]
 
-    def record_result(self, result: AttemptResult) -> None:
+    def record_result(self, result: TrackedAttempt) -> None:
         """Update the state with the result of one attempt."""
         now_ms = result.ended_ms
         if result.outcome is AttemptOutcome.ANSWERED:
@@ -297,7 +297,7 @@
         elif result.outcome is AttemptOutcome.SHED:
             self._record_shed(now_ms)
 
-    def _record_answer(self, result: AttemptResult, now_ms: float) -> None:
+    def _record_answer(self, result: TrackedAttempt, now_ms: float) -> None:
         self.failure_nats = max(0.0, self.failure_nats + ANSWER_NATS)
         self.slowness += LATENCY_WEIGHT * (result.slowness - self.slowness)
         self.shed_fraction -= SHED_WEIGHT * self.shed_fraction
@@ -312,7 +312,7 @@
                 self.trial_passed_ms = now_ms
                 self.failure_nats = 0.0
 
-    def _record_missing_answer(self, result: AttemptResult, now_ms: float) -> None:
+    def _record_missing_answer(self, result: TrackedAttempt, now_ms: float) -> None:
         # The request may hang: its caller's deadline passed, or another target answered
         # first. If it were ignored, the next request would hang as well.
         if (
@@ -335,7 +335,7 @@
         """Return the expected number of attempts per request at this target."""
         return 1.0 / (1.0 - min(SHED_MAX, self.shed_fraction))
 
-    def _record_unreached(self, result: AttemptResult, now_ms: float) -> None:
+    def _record_unreached(self, result: TrackedAttempt, now_ms: float) -> None:
         self.avoid_until_ms[result.sender] = now_ms + PATH_AVOIDANCE_MS
         self.unreached_at_ms[result.sender] = now_ms
         since_ms = now_ms - AGREEMENT_MS
@@ -347,7 +347,7 @@
             self._eject_for(UNREACHED_EJECTION_MS, now_ms)
 
     def _add_failure_evidence(
-        self, failure_nats: float, result: AttemptResult, failed_ms: float
+        self, failure_nats: float, result: TrackedAttempt, failed_ms: float
     ) -> None:
         self.last_failed_ms = max(self.last_failed_ms, failed_ms)
         if self.ejection_state is EjectionState.EJECTED:
--- a/src/crocusspindle/gateway/retry_sharing.py
+++ b/src/crocusspindle/gateway/retry_sharing.py
@@ -8,7 +8,7 @@
 
 from crocusspindle.clock import now_ms
 from crocusspindle.core.retry_budget import RetryBudget
-from crocusspindle.core.retry_record import RetryRecord, Slot
+from crocusspindle.core.retry_record import RetryRecord, TimeSlice
 from crocusspindle.core.view import NodeAddress
 from crocusspindle.gateway.messages import RepeatsNote
 from crocusspindle.gateway.placer_ranks import PlacerRanks
@@ -73,7 +73,7 @@
             RetryRecord(
                 origin,
                 number,
-                tuple(Slot(at_ms - age_ms, *counts) for age_ms, *counts in slots),
+                tuple(TimeSlice(at_ms - age_ms, *counts) for age_ms, *counts in slots),
             )
             for origin, number, slots in note.records
         ]
