--- a/src/crocusspindle/core/placement_queue.py
+++ b/src/crocusspindle/core/placement_queue.py
@@ -127,8 +127,8 @@
         if now_ms >= waiting.give_up_ms:
             return False
         aim_ends_ms = waiting.queued_ms + waiting.request.aim_ms
-        patience_ends_ms = (aim_ends_ms + waiting.give_up_ms) / 2
-        if now_ms < patience_ends_ms:
+        wait_until_ms = (aim_ends_ms + waiting.give_up_ms) / 2
+        if now_ms < wait_until_ms:
             return True
         return self._load.spare_per_ms(open_slots, now_ms) > 0.0
 
--- a/src/crocusspindle_standins/relay.py
+++ b/src/crocusspindle_standins/relay.py
@@ -25,7 +25,7 @@
 
     host: str
     port: int
-    target_port: int
+    server_port: int
 
     def __post_init__(self) -> None:
         self._cut: set[Direction] = set()
@@ -69,7 +69,7 @@
             task.add_done_callback(self._tasks.discard)
         try:
             server_reader, server_writer = await asyncio.open_connection(
-                self.host, self.target_port
+                self.host, self.server_port
             )
         except OSError:
             writer.close()
