--- a/src/crocusspindle_standins/fleet.py
+++ b/src/crocusspindle_standins/fleet.py
@@ -244,7 +244,9 @@
 
     def _settings(self, node: Node) -> dict[str, Any]:
         key_file = self.folder / "fleet.key"
-        key_file.write_text(FLEET_KEY)
+        if not key_file.exists():
+            # Written once: a node that is starting may be reading it.
+            key_file.write_text(FLEET_KEY)
         peer: dict[str, Any] = {"host": HOST, "port": node.peer_port}
         if node.peer_advertise is not None:
             peer["advertise"] = node.peer_advertise
