--- a/tests/gateway/test_end_to_end.py
+++ b/tests/gateway/test_end_to_end.py
@@ -295,7 +295,8 @@
     await asyncio.sleep(1.5)
     statuses = [(await fleet.call("/pages/"))[0] for _ in range(6)]
     assert statuses.count(429) >= 4
-    line = next(line for line in fleet.gateways[0].lines() if line.get("reason"))
+    lines = fleet.gateways[0].lines()
+    line = next(line for line in lines if line["message"] == "request refused")
     assert (line["reason"], line["customer"]) == ("rate", "club")
     assert line["keeper"] in {gateway.name for gateway in fleet.gateways}
     assert line["view"] > 0 and line["retry_after_ms"] > 0
