--- a/src/crocusspindle/core/configuration.py
+++ b/src/crocusspindle/core/configuration.py
@@ -79,7 +79,7 @@
     limits: CallerLimits = field(default_factory=CallerLimits)
 
     def route(self, host: str, path: str) -> RouteRule | None:
-        """Return the route of the longest prefix, in time linear in path depth."""
+        """Return the route of the longest prefix, by one lookup per path segment."""
         prefixes = self.routes.get(host)
         if prefixes is None:
             return None
--- a/src/crocusspindle/core/quota_keeper.py
+++ b/src/crocusspindle/core/quota_keeper.py
@@ -1,15 +1,17 @@
-"""Keep each customer's token bucket at one node, and hand it over without new quota.
+"""Keep each customer's token bucket at one node, and hand over no more than is left.
 
 Hosts may be killed, partitioned and restarted at any time. Two keepers of one customer
-would admit it at twice its rate; a gap without a keeper would refuse its requests
-although the bucket was handed over properly.
+would admit it at twice its rate; a gap between two keepers would cause refusals even
+when the bucket is handed over in an orderly way.
 
 At most one node admits a customer at any time. A keeper acts only while its freshness
 confirmation of the view is younger than the fence, a length of time (``fence_ms``). Its
-successor opens the bucket once every node that may have kept it has released it, or has
-been silent for the length of the fence since the successor received the view that
-removed the previous keeper (``previous_holder`` of the role). A bucket without requests
-fills meanwhile: it opens with the tokens that no other node can have spent.
+successor opens the bucket once each node that may have kept it has released it, or has
+not responded for the length of the fence. For a removed member that time begins when
+the successor receives the view that removed it; for the previous keeper that is still a
+member (``previous_holder`` of the role), when it receives the view that gives it the
+role. A bucket without requests fills meanwhile: it opens with the tokens that no other
+node can have spent.
 
 A view also lists its fenced entries: removed members that may still act on an older
 view.
@@ -52,10 +54,10 @@
 class _Account:
     """Hold one customer's bucket and the releases that it needs before it opens.
 
-    ``tokens`` is the content of the closed bucket. ``successor_since_ms`` is when this
-    node became the successor. ``released_at_ms`` holds when removed members released
-    the customer, ``previous_released_ms`` when the previous keeper, still a member,
-    did. Up to the view ``barred_to_view`` the bucket stays closed.
+    ``tokens`` are those left in the bucket while it is closed. ``successor_since_ms``
+    is when this node became the successor. ``released_at_ms`` holds when removed
+    members released the customer, ``previous_released_ms`` when the previous keeper,
+    still a member, did. Up to the view ``barred_to_view`` the bucket stays closed.
     """
 
     bucket: WindowBucket
@@ -67,7 +69,7 @@
     released_at_ms: dict[ViewEntryKey, float] = field(default_factory=dict)
 
     def close(self) -> None:
-        """Stop admitting; all releases are needed again before the next opening."""
+        """Stop admitting; the next opening requires all releases again."""
         self.opened = False
         self.previous_released_ms = math.nan
         self.successor_since_ms = math.nan
@@ -259,12 +261,12 @@
         account.tokens = max(0.0, remaining)
 
     def record_release(
-        self, customer: CustomerId, by: ViewEntryKey, tokens: float, now_ms: float
+        self, customer: CustomerId, releaser: ViewEntryKey, tokens: float, now_ms: float
     ) -> None:
         """Record that a node released the customer, with the tokens left."""
         account = self._account(customer)
-        if by in self._fenced_since_ms:
-            account.released_at_ms[by] = now_ms
+        if releaser in self._fenced_since_ms:
+            account.released_at_ms[releaser] = now_ms
         else:
             account.previous_released_ms = now_ms
         if not account.opened:
@@ -273,8 +275,8 @@
     def release(self, customer: CustomerId, view_number: int, now_ms: float) -> float:
         """Stop keeping a customer up to a view; return the tokens handed over.
 
-        The successor may know a view that this node has not received. Its request is
-        obeyed: stopping is always safe, while going on could make two keepers.
+        The successor may have a view that this node has not received. Its request is
+        always followed: stopping is safe, while continuing could result in two keepers.
         """
         account = self._account(customer)
         if account.opened:
--- a/src/crocusspindle/core/quota_reserve.py
+++ b/src/crocusspindle/core/quota_reserve.py
@@ -7,7 +7,7 @@
 class QuotaReserve:
     """Spend this node's fraction of a quota's slack while there is no keeper.
 
-    This serves the few seconds after a keeper became silent. The published bound over
+    This covers the few seconds after a keeper became silent. The published bound over
     the fleet is the keeper's quota plus the slack; half of the slack is divided among
     the members in whole requests per window. A restarted node spends none for a window,
     since its previous process may have spent its fraction already.
--- a/src/crocusspindle/core/rate_limit.py
+++ b/src/crocusspindle/core/rate_limit.py
@@ -11,17 +11,19 @@
 the rate would be lost where requests arrive unevenly."""
 
 MIN_PER_S: Final = 0.1
-"""A target that reports a limit of 0 is probed at this rate for a change."""
+"""Lowest limit applied: a target that reports a limit of 0 still gets requests at this
+rate, so that a changed limit is noticed."""
 
 RESPONSES_WITHOUT_LIMIT: Final = 2
-"""Consecutive newer responses without a limit that clear it."""
+"""Number of responses without a limit that clear it. Only responses to requests sent
+after the limit was last reported count."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitReport:
     """Hold the rate limit that a target's response names, None if it names none.
 
-    `sent_ms` is when the request was sent: responses may arrive out of order.
+    ``sent_ms`` is when the request was sent: responses may arrive out of order.
     """
 
     target: TargetIdentity
--- a/src/crocusspindle/core/reader_choice.py
+++ b/src/crocusspindle/core/reader_choice.py
@@ -13,7 +13,7 @@
 SUSPECT_MS: Final = 2_000.0
 SUSPECT_MAX_MS: Final = 32_000.0
 """Readers that stay silent while others respond are retried at growing intervals. With
-a retry every two seconds, getting past a few of them at the front would take longer
+a retry every two seconds, polling a few silent ones that rank first would take longer
 than that, and no node would reach the one that responds."""
 
 JITTER: Final = 0.25
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class _Suspicion:
-    """Hold since when a process is skipped, and for how long at most."""
+    """Hold since when a silent process is skipped, and until when at the latest."""
 
     incarnation: Incarnation
     length_ms: float
@@ -36,8 +36,9 @@
     Without suspicions, all nodes would poll all the silent ones in turn, for ever.
 
     A node that receives no response may itself be partitioned. Until one arrives, it
-    tries every reader once, and then again those without an earlier suspicion: it finds
-    the reader that the other nodes use as soon as its network is back.
+    tries each reader once and then all of them again, except those still skipped since
+    before its last response. So it finds the reader that the other nodes use as soon as
+    its network is back.
     """
 
     def __init__(self, own: HostId, rng: random.Random) -> None:
--- a/src/crocusspindle/core/rendezvous.py
+++ b/src/crocusspindle/core/rendezvous.py
@@ -31,7 +31,7 @@
 
 
 def order_by_weight(key: bytes, weights: Mapping[Name, float]) -> list[Name]:
-    """Return the members by rank for a key, first in proportion to their weights.
+    """Return the members by rank for a key, each first in proportion to its weight.
 
     The order of two members does not depend on the others, so that only the keys of a
     member that joins, leaves or changes its weight move. Schindelhauer and Schomaker,
--- a/src/crocusspindle/core/retry_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -12,20 +12,20 @@
 that get no response from the first placer use the next: the sum must not exceed 1."""
 
 UNKNOWN_EXTRA_FRACTION: Final = 0.1
-"""Fraction that a placer uses until it knows what its predecessors used: added to
-theirs, it must stay within the allowance."""
+"""Fraction that a placer uses until it has its predecessors' counts: added to theirs,
+it must stay within the allowance."""
 
 RATIO_FRACTION: Final = 0.9
 """Fraction of the ratio in use. The rest covers retries whose request was counted at
-the edge of another window, and is all that a placer uses of the ratio until it knows
-what its predecessors used."""
+the edge of another window, and is all that a placer uses of the ratio until it has its
+predecessors' counts."""
 
 SLOTS: Final = 20
 """Time slices of a window in the counts that placers publish to one another."""
 
 KNOWN_PREDECESSOR_MS: Final = 1_500.0
-"""Age of the last record received at which a successor still knows the predecessor's
-counts."""
+"""Maximum age of the last records received for them to still cover the retries of the
+predecessor."""
 
 PUBLISH_INTERVAL_MS: Final = 250.0
 UNPUBLISHED_FRACTION: Final = 0.02
@@ -65,7 +65,11 @@
             self._since_ms = since_ms
 
     def set_rank(self, rank: int, now_ms: float) -> None:
-        """Set this placer's rank; once it rises, earlier retries may be unknown."""
+        """Set this placer's rank, 0 for the first.
+
+        A placer that moves up may lack the counts of its predecessor's retries, unless
+        it has received them just before.
+        """
         if rank < self._rank and now_ms - self._received_ms > KNOWN_PREDECESSOR_MS:
             self._since_ms = now_ms
         self._rank = rank
@@ -149,8 +153,10 @@
         self._published_ms = now_ms
         self._unpublished = 0
         self._number += 1
-        slots = _slots(self._requests, self._retries, self._window_ms / SLOTS, now_ms)
-        own_records = [RetryRecord(own, self._number, slots)] if slots else []
+        slices = _time_slices(
+            self._requests, self._retries, self._window_ms / SLOTS, now_ms
+        )
+        own_records = [RetryRecord(own, self._number, slices)] if slices else []
         return own_records + list(self._others.values())
 
     def receive(
@@ -172,7 +178,7 @@
             self.set_known_since(now_ms - known_ms)
 
 
-def _slots(
+def _time_slices(
     requests: Iterable[float],
     retries: Iterable[float],
     length_ms: float,
--- a/src/crocusspindle/core/view.py
+++ b/src/crocusspindle/core/view.py
@@ -11,7 +11,7 @@
 class NodeAddress:
     """Hold a node's address, the incarnation of its process, and its capacity.
 
-    ``capacity`` counts hundredths of a core or Mbit/s of the link, whichever is less.
+    ``capacity`` is in hundredths of a core or in Mbit/s of the link, whichever is less.
     """
 
     host: HostId
@@ -53,10 +53,10 @@
 
 @dataclass(frozen=True)
 class View:
-    """Hold the members, and the fenced ones that may not know of their removal yet.
+    """Hold the members and the fenced entries, removed members that may still act.
 
-    A removed member stays in ``fenced`` while it may act on an older view, which is
-    until its freshness confirmation expires.
+    A removed member may not have received the view that removed it. It stays in
+    ``fenced`` until its freshness confirmation of an older view must have expired.
     """
 
     number: int
@@ -86,8 +86,8 @@
 ) -> View:
     """Return the view in which exactly the present nodes are members.
 
-    An absent member is fenced until its key is in ``expired_keys``, when it is known to
-    act on its membership no longer. A host that is present under a new incarnation
+    An absent member is fenced until its key is in ``expired_keys``: from then on it
+    certainly no longer acts as a member. A host that is present under a new incarnation
     needs no fence for the previous one, whose process has ended.
     """
     previous_members = () if view is None else view.entries
--- a/src/crocusspindle/core/window_bucket.py
+++ b/src/crocusspindle/core/window_bucket.py
@@ -31,14 +31,14 @@
         self._admissions: deque[tuple[float, float, float]] = deque()
 
     def open(self, tokens: float, rule: CustomerRule, now_ms: float) -> None:
-        """Start with the given tokens, as if the rest of the burst was just spent."""
+        """Start with these tokens, as if the rest of the burst had just been spent."""
         self._admissions.clear()
         spent = _burst(rule) - tokens
         if spent > 0.0:
             self._admissions.append((now_ms, now_ms, spent))
 
     def tokens(self, rule: CustomerRule, now_ms: float) -> float:
-        """Return the tokens available now; negative if tokens were granted ahead."""
+        """Return the tokens available now; negative if tokens were spent in advance."""
         self._forget(now_ms)
         per_ms = rule.rate_per_s / 1e3
         available = _burst(rule)
