--- a/src/crocusspindle/core/admission.py
+++ b/src/crocusspindle/core/admission.py
@@ -42,8 +42,8 @@
     ) -> Refuse | None:
         """Return the refusal caused by a newly queued request, or None.
 
-        Above capacity, callers would otherwise wait for an answer that comes too
-        late and slots would be spent on it.
+        Above capacity, callers would otherwise wait for a response that comes too
+        late, and slots would be spent on it.
         """
         if len(self._queue) > self._max_queued:
             return self._make_room(requests, now_ms)
@@ -52,7 +52,7 @@
         spare_ms = pending.latest_start_ms - now_ms - wait_ms
         if spare_ms >= 0.0:
             return None
-        # The queue advances by whole places, so round the excess up to one.
+        # The queue advances by whole places, so round the excess up to whole ones.
         place_ms = max(self.wait_ms(1, now_ms), 1e-3)
         excess_ms = ceil(-spare_ms / place_ms) * place_ms
         retry_at_ms = self.retry_time_ms(arrival, excess_ms, now_ms)
--- a/src/crocusspindle/core/attempts.py
+++ b/src/crocusspindle/core/attempts.py
@@ -1,4 +1,4 @@
-"""Track running attempts and learn latencies from their ends."""
+"""Track running attempts and learn the latencies of ended ones."""
 
 from itertools import count
 from typing import Final
@@ -17,13 +17,13 @@
 that a report lost by the driver does not occupy the slot for good."""
 
 _TYPICAL_QUANTILE: Final = 0.95
-"""Quantile of the time to first byte that is reserved for the answer of a queued
+"""Quantile of the time to first byte that is reserved for the response to a queued
 request. An unnecessary refusal costs the caller a retry, but a request that is cut off
 has no known outcome and its work is lost. At 70 % capacity 11 % of all requests are
 cut off with the median and 1.2 % with this, and as many are answered in time."""
 
 _MIN_HEDGE_MS: Final = 1.0
-"""Within a millisecond the answer is already on its way."""
+"""Minimum hedging delay: within a millisecond the response is already on its way."""
 
 
 class Attempts:
@@ -71,7 +71,7 @@
         )
 
     def start(self, attempt: Attempt, now_ms: float) -> None:
-        """Record the first byte of an answer."""
+        """Record the first byte of a response."""
         attempt.started_ms = now_ms
         self._first_bytes.add(now_ms - attempt.dispatched_ms)
 
@@ -124,7 +124,7 @@
         return None if late_ms is None else max(late_ms, _MIN_HEDGE_MS)
 
     def typical_ms(self) -> float:
-        """Return the time within which an answer typically begins, 0 if unknown."""
+        """Return the time within which a response typically begins, 0 if unknown."""
         return self._first_bytes.quantile_ms(_TYPICAL_QUANTILE) or 0.0
 
     def arm_hedge(
@@ -143,7 +143,8 @@
 
         An attempt of an idempotent request gets half of the remaining time, or three
         times the hedging delay if that is longer. A silent target would otherwise use
-        up the caller's whole deadline.
+        up the caller's whole deadline. The last attempt gets all of the time, and so
+        does any attempt before latencies are known.
         """
         deadline_ms = pending.arrival.deadline_ms
         typical_ms = self.hedge_after_ms()
--- a/src/crocusspindle/core/coordinator_settings.py
+++ b/src/crocusspindle/core/coordinator_settings.py
@@ -10,12 +10,12 @@
     """Hold the limits of a group coordinator.
 
     ``max_queued`` bounds memory only: a queued request holds a stream of about
-    10 KB at its entry and its coordinator, so 2,048 use 20 MB of the 128 MB.
+    10 KB at its entry and its coordinator, so 2,048 use 20 MB of a node's 128 MB.
     Deadlines bound the waiting time long before.
 
     ``max_attempts`` includes the first attempt, retries and hedges. Three reach two
     further targets, as two independent gray targets in one group require; a fourth
-    would help in under 1 % of 1 % of the cases.
+    would help in under 0.01 % of the cases.
 
     ``retry_fraction`` is the number of retries allowed per first attempt, so that a
     group that fails completely sees at most 1.1 times its load.
@@ -26,6 +26,8 @@
 
     ``shed_is_not_run`` states that the targets' contract guarantees that a shed
     request was not run; without it a shed request counts as failed.
+
+    ``poll_ms`` is the longest time between two ticks while requests are queued.
     """
 
     domain: DomainId | None = None
--- a/src/crocusspindle/core/fair_queue.py
+++ b/src/crocusspindle/core/fair_queue.py
@@ -30,8 +30,8 @@
 service."""
 
 _MAX_IDLE_FLOWS: Final = 256
-"""Idle flows above this number are dropped, so that memory is proportional to the
-queue."""
+"""Above about this number of flows, idle ones with their full credit are dropped, so
+that memory is proportional to the queue."""
 
 
 @dataclass(slots=True)
--- a/src/crocusspindle/core/group_coordinator.py
+++ b/src/crocusspindle/core/group_coordinator.py
@@ -132,7 +132,7 @@
         return decisions
 
     def started(self, attempt: AttemptId, now_ms: float) -> list[Decision]:
-        """Record the first byte of an answer and cancel the other attempts."""
+        """Record the first byte of a response and cancel the other attempts."""
         found = self._attempts.get(attempt)
         if found is None or found.cancelled or found.started_ms is not None:
             return []
@@ -258,8 +258,8 @@
     def _dispatch_queued(self, now_ms: float) -> list[Decision]:
         """Dispatch queued requests while there are free slots, retries first.
 
-        A retry has already waited once. The token bucket bounds retries, so they
-        cannot starve the queue.
+        A retry has already waited once. Retry tokens bound the retries of requests that
+        may have run, so that they cannot starve the queue.
         """
         if not self._queue and not self._retries:
             return []
@@ -307,7 +307,8 @@
             return decisions
         if end is AttemptEnd.SHED:
             # Not counted as an attempt: shedding is bounded, since it lowers the limit
-            # or pauses the target, and counting it would fail requests of new groups.
+            # or pauses the target. In a new group, whose targets' limits are not learnt
+            # yet, requests would otherwise use up their attempts and fail.
             pending.tried.discard(attempt.slots.target.target)
             pending.attempts -= 1
         elif end is not AttemptEnd.UNSENT:
--- a/src/crocusspindle/core/placement.py
+++ b/src/crocusspindle/core/placement.py
@@ -7,7 +7,7 @@
 from crocusspindle.ids import DomainId, TargetId
 
 PROBATION_WEIGHT: Final = 0.075
-"""At or below this weight a target gets only the trials that ``wants_trial`` asks for.
+"""At or below this weight a target gets only trials, when ``wants_trial`` returns True.
 It lies between the weight on probation, 0.05, and that of a cold target, 0.1."""
 
 
--- a/src/crocusspindle/core/requests.py
+++ b/src/crocusspindle/core/requests.py
@@ -21,11 +21,11 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """Hold the state of one request until its final answer.
+    """Hold the state of one request until its final response.
 
-    ``may_have_run`` is set by every end of an attempt that does not prove the
-    contrary. So the outcome "not run" is always true and a non-idempotent request is
-    never run twice.
+    ``may_have_run`` is set when an attempt ends or is preempted without proof that the
+    request did not run. So the outcome "not run" is always true, and a non-idempotent
+    request never runs twice.
     """
 
     arrival: Arrival
@@ -39,7 +39,7 @@
 
     @property
     def started(self) -> bool:
-        """Return True if an answer is being passed on to the caller."""
+        """Return True if a response is being passed on to the caller."""
         return any(attempt.started_ms is not None for attempt in self.running)
 
     @property
--- a/src/crocusspindle/core/retry_tokens.py
+++ b/src/crocusspindle/core/retry_tokens.py
@@ -3,8 +3,8 @@
 from typing import Final
 
 _BURST_TOKENS: Final = 10.0
-"""Ten retries at once cover the 2 to 6 requests running on a target that crashes, and
-one more. With a larger burst, a long quiet period would pay for a retry storm."""
+"""Ten retries at once cover the 2 to 6 requests running on a target that crashes, with
+some to spare. A larger burst would allow a retry storm after a long quiet period."""
 
 
 class RetryTokens:
--- a/src/crocusspindle/core/slots.py
+++ b/src/crocusspindle/core/slots.py
@@ -108,11 +108,12 @@
         self._probe = _Mean()
 
     def _evaluate_probe(self, latency_ms: float) -> None:
-        """Keep a raised limit if throughput rose, rather than a queue in the target.
+        """Keep a raised limit if it increased throughput, not a queue in the target.
 
         With one request more, the latency of a target that queues internally is
         (n + 1) / n times as long. Half of that rise is the threshold; with 64 n^2
-        samples of exponential times it is 2.8 standard errors from either case.
+        samples of exponential times it is 2.8 standard errors from either case. Up to
+        the number of slots in the host list, a limit is kept unless a request is shed.
         """
         probe = self._probe
         assert probe is not None
--- a/src/crocusspindle/core/target_pool.py
+++ b/src/crocusspindle/core/target_pool.py
@@ -18,8 +18,8 @@
 from crocusspindle.ids import DomainId, TargetId
 
 _DEFAULT_HOLD_MS: Final = 50.0
-"""Slot holding time assumed before the first answer. It sets only the pause of a target
-after a shed request; no request is refused because of it."""
+"""Slot holding time assumed before the first response. It sets only the pause of a
+target after a shed request; no request is refused because of it."""
 
 _LOW_WEIGHT: Final = 0.15
 """At or below this weight a target is used only if no better one is available soon.
--- a/src/crocusspindle/core/timers.py
+++ b/src/crocusspindle/core/timers.py
@@ -7,8 +7,9 @@
 
 _MIN_SWEEP_SIZE: Final = 1_024
 _STALE_FACTOR: Final = 8
-"""Most timers outlive their request. They are swept when there are this many times the
-live ones, which bounds the memory and amortises a sweep over many additions."""
+"""Most timers outlive their request. Stale ones are swept when the number of timers
+reaches this multiple of those left by the last sweep, which bounds the memory and
+amortises a sweep over many additions."""
 
 
 class TimerKind(Enum):
