--- a/src/crocusspindle/core/evidence.py
+++ b/src/crocusspindle/core/evidence.py
@@ -19,7 +19,8 @@
 UNANSWERED = frozenset({Outcome.TIMEOUT, Outcome.ABANDONED})
 
 CAP_FACTOR = 1.5
-"""Cap of the evidence in thresholds, so that a recovered target is cleared soon."""
+"""Cap of the evidence as a multiple of the maximum threshold, so that a recovered
+target is cleared soon."""
 
 RATE_DECAY_MS = 5_000.0
 """Time constant of the rates shown to operators and used to rank bad targets."""
@@ -70,11 +71,11 @@
 
 
 class Cusum:
-    """Sum the steps of a sequential test since the sum was last 0, never below 0.
+    """Sum the steps of a sequential test, starting again when the sum falls to 0.
 
     Because of the lower bound, a target that was healthy for a day is detected as
     quickly as a new one. ``total`` sums the observed values, and ``latency_ms`` the
-    latencies, of the ``samples`` steps since then.
+    latencies, of the ``samples`` steps since the last start.
     """
 
     __slots__ = ("_cap_nats", "latency_ms", "nats", "samples", "since_ms", "total")
@@ -102,6 +103,7 @@
         """Add a step, the observed value that it is based on and the latency.
 
         ``value`` is 1 for a failure and 0 for a success, or the cumulative hazard.
+        ``floor_nats`` replaces 0 as the lower bound.
         """
         nats = self.nats + step_nats
         if nats <= floor_nats:
@@ -159,7 +161,7 @@
             sample, min(hazard, reference.threshold_nats / 2.0), now_ms
         )
         # A shedding target is busy and an invalid request is its caller's fault:
-        # neither is evidence about the target.
+        # neither is evidence of a bad target.
         if outcome is not Outcome.OK and outcome in NEUTRAL:
             return
         if outcome is not Outcome.ABANDONED:
@@ -270,7 +272,7 @@
     def silent_nats(self) -> float:
         """Return the evidence of silence."""
         nats = self._silent_nats + self._outstanding_silent_nats
-        # A failed check from elsewhere counts only if work met silence here, too.
+        # A failed check from elsewhere counts only with evidence of silence here, too.
         return min(self._cap_nats, nats + self._unreached_nats) if nats else 0.0
 
     def add_unreached(self, nats: float) -> None:
--- a/src/crocusspindle/core/health.py
+++ b/src/crocusspindle/core/health.py
@@ -149,7 +149,7 @@
             record.next_trial_ms = now_ms + self._settings.trial_interval_ms
 
     def tick(self, now_ms: float) -> list[HealthChange]:
-        """Update the reference, end what is due and enforce the floor."""
+        """Update the reference, enforce the floor and apply due state changes."""
         self._group_reference.refresh(self._records.values(), now_ms)
         changes = self._enforce_floor(now_ms)
         for record in tuple(self._records.values()):
@@ -246,10 +246,10 @@
         return [Restored(record.target.target)]
 
     def _end_opinion(self, record: TargetRecord, now_ms: float) -> list[HealthChange]:
-        """Restore a target whose second opinion was positive or did not arrive.
+        """Restore a target still below the threshold after the opinion or its timeout.
 
         Long work looks like silence. A target kept suspect gets less short work, so it
-        answers more rarely and looks even more silent.
+        responds more rarely and looks even more silent.
         """
         if record.opinion_due_ms is None or now_ms < record.opinion_due_ms:
             return []
--- a/src/crocusspindle/core/health_state.py
+++ b/src/crocusspindle/core/health_state.py
@@ -19,7 +19,7 @@
 
 
 class HealthState(Enum):
-    """Name the way a group uses a target; a ramping target is HEALTHY."""
+    """Name how a group uses a target; a ramping target is HEALTHY."""
 
     HEALTHY = "healthy"
     SUSPECT = "suspect"
@@ -132,8 +132,8 @@
 class HealthSettings:
     """Hold the limits of health evaluation; docs/design/health.md has the figures."""
 
-    # A quarter of the objective of one per day and service, as a margin for what the
-    # figures do not cover of the callers' work.
+    # A quarter of the objective of one per day and service, as a margin for callers'
+    # work that the figures do not cover.
     false_ejections_per_day: float = 0.25
     # Bounds of the threshold derived from that. Below the minimum, five errors alone
     # would eject; the maximum suits 20,000 requests/s, more than one coordinator gets.
@@ -147,10 +147,10 @@
     # worth an ejection, 35 % detects higher losses quickly.
     mild_loss_fraction: float = 0.1
     hard_loss_fraction: float = 0.35
-    # Below 1 % a single stray error would contribute too much to the threshold.
+    # Below 1 % a single stray error would contribute too much towards the threshold.
     min_failure_rate: float = 0.01
-    # The alternative hypothesis is three times as slow: it detects five times as slow
-    # as quickly as the alternative of five does.
+    # The alternative hypothesis is a target three times as slow. It detects one that is
+    # five times as slow as quickly as an alternative of five does.
     slow_factor: float = 3.0
     # A smaller difference to the peers is harmless: in a fast service, a healthy target
     # in another failure domain is twice as slow as its peers.
@@ -174,7 +174,8 @@
     trial_interval_ms: float = 100.0
     # About 10 successful trials; a target failing 30 % passes in 3 of 100 cases.
     trial_pass_nats: float = 3.5
-    # Two failures, or one and slow answers; a single stray error is not enough.
+    # Two failures, or slow responses without a failure; a single stray error is not
+    # enough.
     trial_fail_nats: float = 4.0
     # Also returns a target to service in a group with few idempotent requests.
     max_probation_ms: float = 15_000.0
--- a/src/crocusspindle/core/peer_comparison.py
+++ b/src/crocusspindle/core/peer_comparison.py
@@ -47,7 +47,7 @@
         return position
 
     def add(self, outcome: Outcome, hazard: float, now_ms: float) -> None:
-        """Count one ended attempt and how unusual its latency was."""
+        """Count one ended attempt and the cumulative hazard of its latency."""
         is_ok = outcome is Outcome.OK
         if not is_ok and outcome in NEUTRAL:
             return
@@ -74,13 +74,13 @@
         attempts = sum(self._attempts[i] for i in positions) - own.samples
         failures = sum(self._failures[i] for i in positions) - own.total
         rate = own.total / own.samples
-        # Adding one failure and two attempts keeps the rate away from 0 and 1.
-        peers = max(min_rate, (max(failures, 0.0) + 1.0) / (max(attempts, 0) + 2.0))
-        if rate <= peers:
+        # Adding one failure and two attempts keeps the peers' rate away from 0 and 1.
+        peer_rate = max(min_rate, (max(failures, 0.0) + 1.0) / (max(attempts, 0) + 2.0))
+        if rate <= peer_rate:
             return 0.0
-        nats = rate * log(rate / peers)
+        nats = rate * log(rate / peer_rate)
         if rate < 1.0:
-            nats += (1.0 - rate) * log((1.0 - rate) / (1.0 - peers))
+            nats += (1.0 - rate) * log((1.0 - rate) / (1.0 - peer_rate))
         return own.samples * nats
 
     def latency_contrast(self, own: Cusum, now_ms: float) -> float:
@@ -90,8 +90,8 @@
         positions = self._positions(own.since_ms, now_ms)
         timed_attempts = sum(self._timed_attempts[i] for i in positions) - own.samples
         hazards = sum(self._hazards[i] for i in positions) - own.total
-        peers = (max(hazards, 0.0) + 1.0) / (max(timed_attempts, 0) + 1.0)
-        ratio = own.total / own.samples / peers
+        peer_hazard = (max(hazards, 0.0) + 1.0) / (max(timed_attempts, 0) + 1.0)
+        ratio = own.total / own.samples / peer_hazard
         if ratio <= 1.0:
             return 0.0
         return own.samples * (ratio - 1.0 - log(ratio))
@@ -103,11 +103,11 @@
     def __init__(
         self,
         settings: HealthSettings,
-        group: EjectionBudget,
+        budget: EjectionBudget,
         group_reference: GroupReference,
     ) -> None:
         self._settings = settings
-        self._group = group
+        self._budget = budget
         self._group_reference = group_reference
         self._recent = RecentAttempts()
 
@@ -132,7 +132,7 @@
         threshold_nats = self._threshold_nats
         own = record.evidence
         if own.silent_nats >= threshold_nats:
-            # If most of a group falls silent at once, the coordinator's path fails.
+            # With evidence against most targets, the path to them is likely at fault.
             return not self.most_suspected()
         if own.failures.nats >= threshold_nats and self._fails_more(own, now_ms):
             return True
@@ -160,7 +160,7 @@
 
     def most_suspected(self) -> bool:
         """Return True if there is evidence against most targets in service."""
-        serving = self._group.serving()
+        serving = self._budget.serving()
         clean_nats = self._settings.clean_nats
         suspected = sum(r.evidence.nats >= clean_nats for r in serving)
         return 2 * suspected > len(serving)
@@ -175,7 +175,7 @@
     def _latency_ms(self, excluded: TargetRecord) -> float:
         latencies_ms = sorted(
             record.evidence.latency_ms
-            for record in self._group.serving()
+            for record in self._budget.serving()
             if record is not excluded and record.state is HealthState.HEALTHY
         )
         return latencies_ms[len(latencies_ms) // 2] if latencies_ms else 0.0
--- a/src/crocusspindle/core/target_record.py
+++ b/src/crocusspindle/core/target_record.py
@@ -84,7 +84,7 @@
         self.until_ms = now_ms + self._settings.ejection_ms
 
     def is_stale(self, age_ms: float, now_ms: float) -> bool:
-        """Return True if a request was sent before the target was last ejected.
+        """Return True if a request was sent before the target's last probation began.
 
         The requests of a silent target time out seconds after its ejection and would
         count against it after its recovery.
