--- a/tests/core/test_group_coordinator.py
+++ b/tests/core/test_group_coordinator.py
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("end", [AttemptEnd.FAILED, AttemptEnd.SILENT])
 def test_a_payment_that_may_have_run_is_never_retried(end):
     """A connection breaks after the payment was written. A retry could charge the
-    member twice, so the caller gets an unknown outcome at once."""
+    payer twice, so the caller gets an unknown outcome at once."""
     coordinator = make_coordinator(number=2)
     (first,) = coordinator.arrive(arrival(1, idempotent=False), 0.0)
     (fail,) = coordinator.ended(first.attempt, end, 1.0, 1.0)
@@ -73,7 +73,7 @@
 
 def test_a_shed_payment_is_not_retried_without_a_guarantee():
     """A target answers "overloaded" after it began. Without a guarantee that a shed
-    request was not run, a retry could charge a member twice."""
+    request was not run, a retry could charge the payer twice."""
     coordinator = make_coordinator(number=2, shed_is_not_run=False)
     (first,) = coordinator.arrive(arrival(1, idempotent=False), 0.0)
     (fail,) = coordinator.ended(first.attempt, AttemptEnd.SHED, 1.0, 1.0)
@@ -136,7 +136,7 @@
 
 def test_a_withdrawn_request_that_turns_out_unsent_has_not_run():
     """A caller leaves while its lookup is sent to a target that cannot be reached. The
-    reported outcome is that it did not run."""
+    reported outcome must be that it did not run."""
     coordinator = make_coordinator(number=2)
     (dispatch,) = coordinator.arrive(arrival(1), 0.0)
     assert coordinator.withdraw(1, 1.0) == [Cancel(dispatch.attempt)]
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -90,8 +90,8 @@
     # The path from this coordinator to one target is cut in one direction. The target
     # looks silent from here, but a node in another failure domain reaches it.
     trial = run_trial(since(BEGIN_MS, silent), reached=True)
-    asked_ms = trial.first(SecondOpinionWanted, trial.targets[0].target)
-    assert asked_ms is not None
+    requested_ms = trial.first(SecondOpinionWanted, trial.targets[0].target)
+    assert requested_ms is not None
     assert trial.first(GroupSuspect) is not None
 
 
--- a/tests/core/test_health_floor.py
+++ b/tests/core/test_health_floor.py
@@ -180,8 +180,9 @@
 
 
 def test_two_coordinators_with_different_evidence_keep_the_floor() -> None:
-    # In a partition each of two coordinators sees another half of the targets fail. If
-    # both ejected it (the naive rule: the whole cap for each), none would serve both.
+    # In a partition each of two coordinators sees a different half of the targets fail.
+    # If each ejected its half (the naive rule: the whole allowance for each), no target
+    # would be in service at both.
     naive, _ = two_partitioned_coordinators(coordinators_at_once=1)
     assert naive < FLOOR
     shared, trials = two_partitioned_coordinators(coordinators_at_once=2)
--- a/tests/core/test_quota_keeper.py
+++ b/tests/core/test_quota_keeper.py
@@ -29,30 +29,30 @@
 
 def test_the_first_keeper_admits_the_burst_and_then_the_rate():
     view = next_view(None, present("a"))
-    club = keeper("a", view, 0.0)
-    assert admitted(club, 0.0, 10) == 5
-    assert isinstance(club.spend(CLUB, 0.0, 0.0), OverRate)
-    club.set_view(view, 1_000.0, 1_000.0)
-    assert admitted(club, 1_000.0, 10) == 5
+    club_keeper = keeper("a", view, 0.0)
+    assert admitted(club_keeper, 0.0, 10) == 5
+    assert isinstance(club_keeper.spend(CLUB, 0.0, 0.0), OverRate)
+    club_keeper.set_view(view, 1_000.0, 1_000.0)
+    assert admitted(club_keeper, 1_000.0, 10) == 5
 
 
 def test_a_short_wait_spends_the_next_token_in_advance():
-    club = keeper("a", next_view(None, present("a")), 0.0)
-    admitted(club, 0.0, 5)
-    result = club.spend(CLUB, 150.0, 0.0)
+    club_keeper = keeper("a", next_view(None, present("a")), 0.0)
+    admitted(club_keeper, 0.0, 5)
+    result = club_keeper.spend(CLUB, 150.0, 0.0)
     assert isinstance(result, Admitted) and result.wait_ms == 100.0
-    assert isinstance(club.spend(CLUB, 150.0, 0.0), OverRate)
+    assert isinstance(club_keeper.spend(CLUB, 150.0, 0.0), OverRate)
 
 
 def test_a_keeper_with_an_expired_confirmation_stops():
-    """A keeper that is cut off from the platform goes on for the fence and no longer.
+    """A keeper cut off from the platform stops once the length of the fence has passed.
 
     Its successor opens after the fence: both at once would admit the customer at
     twice its rate.
     """
-    club = keeper("a", next_view(None, present("a")), 0.0)
-    assert admitted(club, FENCE_MS - 1, 1) == 1
-    assert isinstance(club.spend(CLUB, 0.0, FENCE_MS), NotKept)
+    club_keeper = keeper("a", next_view(None, present("a")), 0.0)
+    assert admitted(club_keeper, FENCE_MS - 1, 1) == 1
+    assert isinstance(club_keeper.spend(CLUB, 0.0, FENCE_MS), NotKept)
 
 
 def test_the_successor_of_a_silent_keeper_waits_for_the_fence_and_opens_empty():
@@ -82,24 +82,24 @@
 def test_the_successor_of_a_restarted_keeper_opens_at_once_and_empty():
     """A keeper's process is killed and restarts before its failure is detected.
 
-    The new process does not know what the old one admitted. If it opened with a full
-    burst, each kill would give the customer a burst.
+    The new process has no record of what the old one admitted. If it opened with a
+    full burst, each kill would give the customer a burst.
     """
     view = next_view(None, present("a"))
     restarted = {HostId("a"): node("a", "2")}
     later = next_view(view, restarted)
     assert later.fenced == ()
-    club = keeper("a", later, 0.0)
-    assert admitted(club, 0.0, 9) == 0
-    club.set_view(later, 300.0, 300.0)
-    assert admitted(club, 300.0, 9) == 3
+    club_keeper = keeper("a", later, 0.0)
+    assert admitted(club_keeper, 0.0, 9) == 0
+    club_keeper.set_view(later, 300.0, 300.0)
+    assert admitted(club_keeper, 300.0, 9) == 3
 
 
 def test_a_joining_keeper_takes_the_bucket_over():
     """A host joins that ranks above the keeper of a customer.
 
-    The previous keeper may not know the new view. On request it stops and hands its
-    tokens over: a planned change neither costs nor gives the customer any quota.
+    The previous keeper may not have received the new view. On request it stops and
+    hands its tokens over: a planned change neither costs nor gives any quota.
     """
     first, second = by_rank("a", "b")
     view = next_view(None, present(second))
@@ -155,12 +155,12 @@
     """
     first, second = by_rank("a", "b")
     view = next_view(None, present(first))
-    club = keeper(first, view, 0.0)
-    assert admitted(club, 0.0, 1) == 1
+    club_keeper = keeper(first, view, 0.0)
+    assert admitted(club_keeper, 0.0, 1) == 1
     without_first = next_view(view, present(second))
     back = next_view(without_first, present(first, second))
-    club.set_view(back, 9_000.0, 9_000.0)
-    assert admitted(club, 9_000.0, 9) == 0
+    club_keeper.set_view(back, 9_000.0, 9_000.0)
+    assert admitted(club_keeper, 9_000.0, 9) == 0
 
 
 @pytest.mark.parametrize("pause_ms", [0.0, 4_000.0, 9_000.0])
@@ -237,7 +237,7 @@
 
 
 def test_the_reserve_keeps_within_half_of_the_slack():
-    """A keeper is lost, and each entry serves on its fraction of the slack."""
+    """A keeper is lost, and each node spends its own fraction of the slack."""
     names = [f"host-{n}" for n in range(36)]
     view = next_view(None, present(*names))
     spent = 0
@@ -248,7 +248,7 @@
 
 
 def test_a_node_that_has_just_started_spends_no_reserve():
-    """A process is killed and restarts without knowing what it has spent."""
+    """A process is killed and restarts without a record of what it has spent."""
     view = next_view(None, present("a"))
     reserve = QuotaReserve(HostId("a"), 5_000.0, 0.0)
     assert not reserve.spend(CLUB, 41.0, view, 4_999.0)
@@ -256,17 +256,17 @@
 
 
 def test_a_customer_over_its_rate_gets_its_whole_bound_in_every_window():
-    """A customer's limit is lowered, and it goes on sending twice as much.
+    """A customer's limit is lowered, and it continues to send twice as much.
 
     Its bound is rate and burst in every window of five seconds. Served at the rate
     alone, it would be refused requests within its bound for as long as it sends.
     """
-    club = keeper("a", next_view(None, present("a")), 0.0)
+    club_keeper = keeper("a", next_view(None, present("a")), 0.0)
     admitted_at = []
     for step in range(4_000):
         now_ms = step * 10.0
-        club.set_view(club._view, now_ms, now_ms)
-        if step % 5 == 0 and admitted(club, now_ms, 1):
+        club_keeper.set_view(club_keeper._view, now_ms, now_ms)
+        if step % 5 == 0 and admitted(club_keeper, now_ms, 1):
             admitted_at.append(now_ms)
     for span_s in (1, 2, 5):
         bound = RULE.rate_per_s * span_s + RULE.burst
@@ -278,19 +278,19 @@
 
 
 def test_a_lowered_limit_holds_at_once_for_what_was_spent_before():
-    club = keeper("a", next_view(None, present("a")), 0.0)
-    assert admitted(club, 0.0, 5) == 5
-    club.set_rules({CLUB: CustomerRule(CLUB, rate_per_s=1.0, burst=1.0)})
-    club.set_view(club._view, 2_000.0, 2_000.0)
-    assert admitted(club, 2_000.0, 5) == 0
+    club_keeper = keeper("a", next_view(None, present("a")), 0.0)
+    assert admitted(club_keeper, 0.0, 5) == 5
+    club_keeper.set_rules({CLUB: CustomerRule(CLUB, rate_per_s=1.0, burst=1.0)})
+    club_keeper.set_view(club_keeper._view, 2_000.0, 2_000.0)
+    assert admitted(club_keeper, 2_000.0, 5) == 0
 
 
 def test_a_customer_without_a_burst_gets_its_rate():
     """An operator gives a customer a rate and no burst."""
-    club = keeper("a", next_view(None, present("a")), 0.0)
-    club.set_rules({CLUB: CustomerRule(CLUB, rate_per_s=10.0)})
+    club_keeper = keeper("a", next_view(None, present("a")), 0.0)
+    club_keeper.set_rules({CLUB: CustomerRule(CLUB, rate_per_s=10.0)})
     admitted_count = 0
     for step in range(500):
-        club.set_view(club._view, step * 20.0, step * 20.0)
-        admitted_count += admitted(club, step * 20.0, 1)
+        club_keeper.set_view(club_keeper._view, step * 20.0, step * 20.0)
+        admitted_count += admitted(club_keeper, step * 20.0, 1)
     assert 95 <= admitted_count <= 101
--- a/tests/core/test_quota_opening.py
+++ b/tests/core/test_quota_opening.py
@@ -19,10 +19,10 @@
     view = next_view(None, present("a", "b"))
     (first, _) = by_rank("a", "b")
     restarted = {HostId(name): node(name, "2") for name in ("a", "b")}
-    club = new_keeper(restarted[HostId(first)], 100.0)
-    club.set_view(view, 1_900.0, 1_900.0)
-    club.set_view(next_view(view, restarted), 2_000.0, 2_000.0)
-    assert admitted(club, 2_100.0, 30) == 5
+    club_keeper = new_keeper(restarted[HostId(first)], 100.0)
+    club_keeper.set_view(view, 1_900.0, 1_900.0)
+    club_keeper.set_view(next_view(view, restarted), 2_000.0, 2_000.0)
+    assert admitted(club_keeper, 2_100.0, 30) == 5
 
 
 def test_a_restarted_process_has_earned_nothing_while_another_kept_its_customers():
@@ -31,25 +31,25 @@
     view = next_view(None, present("a", "b"))
     without_first = next_view(view, present(second))
     restarted = {HostId(first): node(first, "2"), HostId(second): node(second, "2")}
-    club = new_keeper(restarted[HostId(first)], 100.0)
-    club.set_view(view, 1_900.0, 1_900.0)
-    club.set_view(next_view(without_first, restarted), 2_000.0, 2_000.0)
-    assert admitted(club, 2_100.0, 30) == 1
+    club_keeper = new_keeper(restarted[HostId(first)], 100.0)
+    club_keeper.set_view(view, 1_900.0, 1_900.0)
+    club_keeper.set_view(next_view(without_first, restarted), 2_000.0, 2_000.0)
+    assert admitted(club_keeper, 2_100.0, 30) == 1
 
 
 def test_a_keeper_without_requests_opens_with_the_tokens_it_earned():
     """Guards against refusing the first requests to a fleet that has just started."""
     first, second = by_rank("a", "b")
     view = next_view(next_view(None, present(second)), present("a", "b"))
-    club = keeper(first, view, 0.0)
+    club_keeper = keeper(first, view, 0.0)
     for now_ms in (2_000.0, 4_000.0, 6_000.0, 8_000.0):
-        club.set_view(view, now_ms, now_ms)
-    assert not club.pending_releases(CLUB, 8_000.0)
-    assert admitted(club, 8_000.0, 9) == 5
+        club_keeper.set_view(view, now_ms, now_ms)
+    assert not club_keeper.pending_releases(CLUB, 8_000.0)
+    assert admitted(club_keeper, 8_000.0, 9) == 5
 
 
 def test_tokens_that_a_previous_member_may_have_spent_are_not_earned_twice():
-    """Guards against counting the time in which a cut-off keeper still admits."""
+    """Guards against refilling for the time in which a cut-off keeper still admits."""
     _, second = by_rank("a", "b")
     view = next_view(None, present("a", "b"))
     successor = keeper(second, view, 0.0)
--- a/tests/core/test_rate_limit.py
+++ b/tests/core/test_rate_limit.py
@@ -52,7 +52,7 @@
 
 
 def test_a_new_limit_begins_without_tokens():
-    """Guards against a new placer that repeats what its predecessor just sent."""
+    """Guards against a burst from a new placer just after one from its predecessor."""
     assert not limited(1.0).allows(0.0)
     assert limited(1.0).allows(1_000.0)
 
@@ -92,6 +92,6 @@
 
 
 def test_a_target_with_a_limit_of_zero_is_probed():
-    """Guards against a limit whose end goes unnoticed for want of requests."""
+    """Guards against a limit whose end goes unnoticed because no requests are sent."""
     times = sent_in(limited(0.0), 60_000)
     assert len(times) == pytest.approx(60.0 * MIN_PER_S, abs=1)
--- a/tests/core/test_reader_choice.py
+++ b/tests/core/test_reader_choice.py
@@ -59,8 +59,8 @@
 def test_a_node_that_is_cut_off_does_not_suspect_the_others():
     """A node is cut off for ten seconds and gets no response from any other node.
 
-    With suspicions, it would skip the reader that the other nodes use for half a
-    minute after that.
+    If their silence counted, it would skip the reader that the other nodes use for
+    half a minute after that.
     """
     choice = ReaderChoice(OWN, random.Random(1))
     now_ms = 0.0
@@ -93,7 +93,10 @@
 
 
 def test_lists_are_sent_within_their_fraction_of_the_link():
-    """Three hundred hosts request a list of 20 kB from one host at the same time."""
+    """Three hundred hosts request a list of 20 kB from one host at the same time.
+
+    Heartbeats behind a queue of seconds on its link would arrive too late.
+    """
     limiter = ByteRateLimiter(bytes_per_ms=312.5)
     sent_ms = [at for at in range(4_000) if limiter.try_consume(20_000, float(at))]
     assert len(sent_ms) * 20_000 <= 312.5 * (4_000 + BURST_MS) + 20_000
