--- a/src/crocusspindle/core/routes.py
+++ b/src/crocusspindle/core/routes.py
@@ -35,7 +35,7 @@
     def find(self, path: str) -> Route | None:
         """Return the route with the longest prefix of the path.
 
-        Needs at most as many lookups as the deepest route has segments, so that a
+        Needs at most one lookup more than the deepest route has segments, so that a
         path with thousands of slashes costs no more than an ordinary one.
         """
         candidate = "/".join(path.split("/", self._depth + 1)[: self._depth + 1])
