--- a/src/crocusspindle/core/__init__.py
+++ b/src/crocusspindle/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decide everything the fleet decides, without input or output."""
+"""Implement the fleet's decisions as pure logic, without input or output."""
--- a/src/crocusspindle/core/bucket.py
+++ b/src/crocusspindle/core/bucket.py
@@ -123,11 +123,11 @@
         room = self.room()
         if self._tokens > room:
             self._tokens = room
-            # Later than any token taken at this same time.
+            # Just after now, so that a token taken at this very time is not put back.
             self._clipped_at_ms = math.nextafter(now_ms, math.inf)
 
     def reserve(self, amount: float, until_ms: float) -> None:
-        """Reserve the capacity for a loan at least until the time."""
+        """Reserve the capacity for a loan until a time or longer."""
         if not self._reserved or (
             until_ms > self._reserved[-1][0] and len(self._reserved) < MAX_RESERVATIONS
         ):
--- a/src/crocusspindle/core/directory.py
+++ b/src/crocusspindle/core/directory.py
@@ -32,7 +32,7 @@
 DIGEST_BYTES: Final = 32
 BUCKET_HASH_BYTES: Final = 4
 WITHDRAWN: Final = 0x8000_0000
-"""Flag in the customer row of a withdrawn key's record."""
+"""Flag set in the customer row that the record of a withdrawn key holds."""
 
 NUMBER_BYTES: Final = 2
 MAX_NUMBERS: Final = 1 << 8 * NUMBER_BYTES
@@ -325,12 +325,18 @@
             "services": len(self.service_table),
         }
 
-    def restore_names(self, names: list[str], approvers: list[str]) -> None:
+    def restore_names(
+        self, service_names: list[str], approver_names: list[str]
+    ) -> None:
         """Restore the service and approver numbers used in approvals."""
-        self.service_names = names
-        self.approver_names = approvers
-        self._service_numbers = {name: at for at, name in enumerate(names)}
-        self._approver_numbers = {name: at for at, name in enumerate(approvers)}
+        self.service_names = service_names
+        self.approver_names = approver_names
+        self._service_numbers = {
+            name: number for number, name in enumerate(service_names)
+        }
+        self._approver_numbers = {
+            name: number for number, name in enumerate(approver_names)
+        }
 
     def _require(self, item: Item) -> None:
         messages = list(self._violations(item, {}))
--- a/src/crocusspindle/core/eligibility.py
+++ b/src/crocusspindle/core/eligibility.py
@@ -21,8 +21,8 @@
 NEVER: Final = -inf
 
 MAX_PENDING_VIEWS: Final = 16
-"""Maximum number of views not yet known to all members; with one view in 10 s and a
-few seconds each, two are typical."""
+"""Maximum number of views that are not settled yet; with one view in 10 s and a few
+seconds each, two are typical."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class _PendingView:
-    """Hold a view that some members may not know yet."""
+    """Hold a view that is not settled yet, and when it was confirmed."""
 
     view: MemberView
     confirmed_ms: float | None = None
@@ -123,18 +123,24 @@
         ]
         self._relevant_members = self._previous_members() | set(view.names)
         kept_views = {
-            n: at for n, at in self._seen_views.items() if n in self._relevant_members
+            name: number
+            for name, number in self._seen_views.items()
+            if name in self._relevant_members
         }
         self._seen_views = kept_views
         self._member_ids = frozenset(view.names)
         kept_contacts = {
-            n: contact for n, contact in self._contacts.items() if n in self._member_ids
+            name: contact
+            for name, contact in self._contacts.items()
+            if name in self._member_ids
         }
         self._contacts = kept_contacts
         self._is_unreachable = False
         # Own outages are reported for longer: a peer's view may be several behind.
         still_relevant = {
-            at for at in self._outage_views if at >= view.oldest_previous_view
+            number
+            for number in self._outage_views
+            if number >= view.oldest_previous_view
         }
         self._outage_views = still_relevant | set(self._own_outage_views)
         self._refresh_at_ms = NEVER
@@ -182,15 +188,17 @@
         ``view_number``, ``applied``, ``away`` (the member has lost the platform) and
         ``away_views`` (its `outage_views`) are from its reply. A member at a later view
         never counts for an earlier one, nor does a member that has applied tickets
-        which this node has not: with a majority that contains it, this node would serve
-        by what that member knows to be withdrawn.
+        which this node has not: with a majority that contains it, this node would still
+        serve keys that those tickets withdraw.
         """
         if member == self.member or member not in self._relevant_members:
             return
         self._record_seen_view(member, view_number)
         if self._view is not None:
             oldest = self._view.oldest_previous_view
-            self._outage_views.update(at for at in away_views if at >= oldest)
+            self._outage_views.update(
+                number for number in away_views if number >= oldest
+            )
         if member not in self._member_ids:
             return
         old_contact = self._contacts.get(member)
@@ -202,7 +210,7 @@
             return
         new_contact = _Contact(view_number, at_ms, TicketNumber(applied), away)
         self._contacts[member] = new_contact
-        if old_contact is None or self._may_shorten(old_contact, new_contact):
+        if old_contact is None or self._may_shorten_deadlines(old_contact, new_contact):
             self._refresh_at_ms = NEVER
 
     def eligible_until_ms(self, now_ms: float) -> float:
@@ -336,7 +344,9 @@
         if view_number > self._seen_views.get(member, 0):
             self._seen_views[member] = view_number
 
-    def _may_shorten(self, old_contact: _Contact, new_contact: _Contact) -> bool:
+    def _may_shorten_deadlines(
+        self, old_contact: _Contact, new_contact: _Contact
+    ) -> bool:
         return (
             old_contact.view != new_contact.view
             or old_contact.away != new_contact.away
@@ -426,12 +436,12 @@
 
     def _contact_deadline_ms(
         self,
-        echoes: Iterable[float],
+        echo_times_ms: Iterable[float],
         includes_own: bool,
         needed_count: int,
         now_ms: float,
     ) -> float:
-        latest = sorted(echoes, reverse=True)
+        latest = sorted(echo_times_ms, reverse=True)
         needed_others = needed_count - includes_own
         if needed_others <= 0:
             return now_ms + self._limits.contact_ms
--- a/src/crocusspindle/core/groups.py
+++ b/src/crocusspindle/core/groups.py
@@ -24,7 +24,7 @@
 
 _MAX_TO_MEAN: Final = 1.25
 """Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018):
-a limit of a quarter above the mean, so at most 16 targets, keeps a coordinator within
+a limit of a quarter above the mean, so at most 15 targets, keeps a coordinator within
 its measured load and moves few targets when one is added or removed."""
 
 
--- a/src/crocusspindle/core/holder_cache.py
+++ b/src/crocusspindle/core/holder_cache.py
@@ -13,7 +13,7 @@
 """Customers whose holders are cached."""
 
 MAX_CHANGES: Final = 64
-"""Maximum number of view changes by which a cached entry is validated.
+"""Maximum number of view changes that are checked to validate a cached entry.
 
 With 5,400 members, one of which starts or stops every four seconds, choosing two
 holders again takes 600 hashes, which most requests would pay after each view. Checking
@@ -35,7 +35,7 @@
         self._members: frozenset[ViewMember] = frozenset()
         self._domain_of: dict[MemberId, DomainId] = {}
         self._selector = HolderSelector(())
-        self._domains = 0
+        self._domain_count = 0
         self._changes: deque[_Change] = deque(maxlen=MAX_CHANGES)
         self._version = 0
         self._cached: dict[CustomerId, tuple[int, int, tuple[MemberId, ...]]] = {}
@@ -56,7 +56,7 @@
         )
         self._version += 1
         self._members, self._domain_of = members_now, domain_of
-        self._selector, self._domains = selector, len(domains)
+        self._selector, self._domain_count = selector, len(domains)
 
     def forget(self, customer: CustomerId) -> None:
         """Drop a customer's cached holders."""
@@ -82,7 +82,7 @@
         count: int,
         cached: tuple[int, int, tuple[MemberId, ...]],
     ) -> bool:
-        """Return True if no view since then has moved one of the customer's shares.
+        """Return True if no view since the entry was cached has moved a share.
 
         With the same failure domains a share moves only if its holder leaves or if a
         member with a higher score joins in the holder's domain.
@@ -91,7 +91,7 @@
         changes_since = self._version - version
         if cached_count != count or changes_since > len(self._changes):
             return False
-        if changes_since and count > self._domains:
+        if changes_since and count > self._domain_count:
             return False
         key = customer.encode()
         for change in list(self._changes)[len(self._changes) - changes_since :]:
--- a/src/crocusspindle/core/lenders.py
+++ b/src/crocusspindle/core/lenders.py
@@ -52,8 +52,8 @@
 DECAY_MARGIN_MS: Final = 20.0
 """A loan request also covers the decay of tokens already borrowed, over this time.
 
-Otherwise a little more would be lacking after each late loan, and a request would
-borrow without end.
+Otherwise each late loan would leave a little lacking, and a request would borrow
+without end.
 """
 
 
@@ -161,7 +161,7 @@
     def choose_for_holder(
         self, peers: OtherHolders, need: float, extra: float, now_ms: float
     ) -> Borrow | None:
-        """Choose a lender for another holder; return None if all have too little.
+        """Choose a lender for a holder; return None if all together have too little.
 
         Near its rate, the shares of a customer of 1/s and burst 2 hold fractions most
         of the time. They are collected in a holder's own bucket, where none is lost,
--- a/src/crocusspindle/core/loans.py
+++ b/src/crocusspindle/core/loans.py
@@ -22,7 +22,7 @@
 
 
 MAX_WAIT_MS: Final = 20.0
-"""Maximum wait of a request for the next token, up to `MAX_TRIES` times.
+"""Maximum total wait of a request for tokens, over at most `MAX_TRIES` tries.
 
 Balancing two shares costs a small customer some 18 ms of refill, and near its rate a
 request within that time would be refused though it is within the rate. A longer wait
@@ -30,8 +30,8 @@
 """
 
 MAX_TRIES: Final = 3
-"""Tries of one request, including the first: for every request over the rate, holders
-of large customers return retry times only a few milliseconds ahead."""
+"""Maximum tries of one request, including the first. Holders of a large customer return
+retry times only a few milliseconds ahead, also for requests over the rate."""
 
 
 MAX_GATHERS: Final = 4
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Borrow:
-    """Request ``missing`` tokens from the first of ``holders``; pass on the result.
+    """Request ``missing`` tokens from the first of ``holders`` and credit the loan.
 
     With ``gather`` that holder first collects from the others what it lacks.
     """
--- a/src/crocusspindle/core/local_shares.py
+++ b/src/crocusspindle/core/local_shares.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class LocalShare:
-    """Hold one share, since which view it is held, and the number of holders."""
+    """Hold one share, the view since which it is held, and the number of holders."""
 
     bucket: ShareBucket
     since_view: ViewNumber
@@ -172,8 +172,8 @@
         """Apply the next member view; ignore an older one.
 
         A skipped view may have moved a share to another member and a later one back.
-        That member may have opened it and not know yet that it lost it, so after a gap
-        every share starts again, empty.
+        That member may have opened it and not have received the later view yet, so
+        after a gap every share starts again, empty.
         """
         if self._views and view_number <= self._views[-1].number:
             return
@@ -209,7 +209,7 @@
     def expire_shares(self, now_ms: float) -> None:
         """Restart every share empty, after this member was not eligible.
 
-        Another member may have taken over meanwhile and not know yet that it must stop.
+        Another member may have taken them over meanwhile and may still spend from them.
         """
         self._local_shares.clear()
         if self._views:
--- a/src/crocusspindle/core/members.py
+++ b/src/crocusspindle/core/members.py
@@ -82,8 +82,8 @@
     def oldest_previous_view(self) -> ViewNumber:
         """Return the oldest view by which members may still act.
 
-        Outages under older views were known to the writer of this view, which contains
-        them as long as they matter.
+        The writer of this view knew of the outages under older views, and the view
+        lists them as long as they matter.
         """
         numbers = (previous.view for previous in self.formers)
         return min(numbers, default=self.number)
@@ -173,9 +173,10 @@
     """Hold the times of the member view.
 
     ``silence_ms`` must exceed an ordinary pause (garbage collection, a busy host) and
-    the freshness limit, so that a removed member has been ineligible by rule 1 (see
-    `eligibility`) before. ``outage_kept_ms`` is the retention of operation keys plus a
-    margin.
+    the freshness limit, so that a member is ineligible by rule 1 (see `eligibility`)
+    before it is removed. ``witness_ms`` is how long a report of its silence counts,
+    ``batch_ms`` the minimum time from adopting a view to proposing the next one.
+    ``outage_kept_ms`` is the retention of operation keys plus a margin.
     """
 
     silence_ms: float = 10_000.0
@@ -220,9 +221,9 @@
 class Membership:
     """Collect evidence about members and propose the next view.
 
-    A crashed node stays in the view and keeps its place in every hash order. A node
-    that receives nothing because one direction of its link fails would consider all
-    others failed. So a silent member is removed only if a node in another failure
+    A crashed node stays in the view, and in every hash order, until it is removed. A
+    node that receives nothing because one direction of its link fails would consider
+    all others failed. So a silent member is removed only if a node in another failure
     domain confirms the silence, and only by a proposer in two-way contact with a
     majority.
     """
@@ -266,7 +267,7 @@
     def record_silence_report(
         self, member: MemberId, witness: MemberId, at_ms: float
     ) -> None:
-        """Record another node's report that a member is silent for ``silence_ms``."""
+        """Record another node's report of a member silent for ``silence_ms``."""
         evidence = self._evidence.get(member)
         if evidence is not None and witness != member:
             evidence.witnesses[witness] = at_ms
@@ -340,7 +341,7 @@
         self, current: MemberView, joining: list[ViewMember]
     ) -> frozenset[MemberId]:
         # A process owns its address, so a later start there proves that the previous
-        # one stopped. Without this no view could follow when a majority loses power.
+        # one stopped. Without this no view could follow after a majority lost power.
         reused_addresses = {member.peer_address for member in joining}
         replaced = {
             member.member
--- a/src/crocusspindle/core/operation_entries.py
+++ b/src/crocusspindle/core/operation_entries.py
@@ -218,7 +218,7 @@
     def record_flush(
         self, name: OperationName, version: int, found_row: bytes | None
     ) -> bool:
-        """Record the row after a flush; return True if it matches the record."""
+        """Record the row after a flush; return False if it must be written again."""
         entry = self._entries.get(name)
         if entry is None or not entry.unflushed:
             return True
--- a/src/crocusspindle/core/operation_holders.py
+++ b/src/crocusspindle/core/operation_holders.py
@@ -1,4 +1,4 @@
-"""Select the two members that hold an operation's record and track what they know."""
+"""Select the two members that hold an operation's record, and track past holders."""
 
 from collections.abc import Iterable
 from heapq import nlargest
@@ -211,12 +211,20 @@
             self.record_outage(number)
         # An older outage that the view does not list is past every key's window.
         kept = {past.view for past in view.outages}
-        kept.update(at for at in self._outages if at >= view.oldest_previous_view)
+        kept.update(
+            view_number
+            for view_number in self._outages
+            if view_number >= view.oldest_previous_view
+        )
         self._outages = {
-            at: members for at, members in self._outages.items() if at in kept
+            view_number: members
+            for view_number, members in self._outages.items()
+            if view_number in kept
         }
         self._flushed = {
-            at: members for at, members in self._flushed.items() if at in kept
+            view_number: members
+            for view_number, members in self._flushed.items()
+            if view_number in kept
         }
 
     def _prune(self, now_ms: float) -> None:
--- a/src/crocusspindle/core/operations.py
+++ b/src/crocusspindle/core/operations.py
@@ -130,7 +130,7 @@
         reply: PeerReply | None,
         now_ms: float,
     ) -> Decision:
-        """Continue after the second holder's reply, or None if it timed out."""
+        """Continue after the second holder's reply; ``reply`` is None on a timeout."""
         entry = self._entries.find_own(
             name, attempt, self.member, EntryPhase.REQUESTING_PEER
         )
--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -6,18 +6,20 @@
 bounds the admissions of all holders together. Each event preserves that sum:
 
 - Loan: taken from the lender's bucket, whose capacity for it stays reserved for a grace
-  period; after that its value decays by the lender's refill over the whole round trip.
-  A lost loan or response loses tokens and creates none.
+  period; after that its value decays by the lender's refill. The time counts from when
+  the request was sent. A lost loan or response loses tokens and creates none.
 - Refund: only while the bucket has not been full since the token was taken.
 - View change: a new holder starts empty, one lease after a majority has adopted the
   view, when the previous holder cannot be eligible any more and its loans have expired.
 - Rate change: a decrease takes effect at once. With the same number of holders the
   shares in transition add up to at most the larger of old and new. With another number
-  of holders a larger share waits one lease, for the holders that it replaces.
-- Restart: a new member, so a new holder. Pause beyond the lease: eligibility is checked
-  when a token is taken, so a resumed holder takes none.
-- Two members that both claim a share: the older one is not eligible, or the newer one
-  is not open yet.
+  of holders a larger share takes effect one lease later, when the holders that it
+  replaces cannot spend any more.
+- Restart: a restarted node is a new member, and so a new holder.
+- Pause beyond the lease: eligibility is checked when a token is taken, so a resumed
+  holder takes none.
+- Two members that both hold a share: the older one is not eligible, or the share of the
+  newer one is not open yet.
 
 All times are this node's monotonic clock. Clocks may drift by a fraction ``drift``:
 refills are slowed and waits are lengthened by it.
@@ -57,21 +59,26 @@
 """Minimum time between two requests for idle tokens of one customer.
 
 Longer than a full lender reserves capacity for a loan, so that idle tokens fit in, and
-longer than a round trip; limits these requests to 50 per second and holder.
+longer than a round trip. Limits a holder to 83 of these requests per second for one
+customer.
 """
 
 TOP_UP_FRACTION: Final = 0.25
 """Minimum imbalance that is worth a message, as a fraction of a share's burst."""
 
 MAX_TRACKED_CUSTOMERS: Final = 4_096
-"""Customers whose lenders are remembered; evicting one loses no token on loan."""
+"""Customers whose lenders are remembered; beyond it the oldest one is evicted.
+
+A loan that arrives after the eviction is still credited, but tokens left in the evicted
+loan pool are lost.
+"""
 
 MAX_LISTED_SHARES: Final = 20
 """Shares that the status lists individually, the emptiest first."""
 
 
 class ShareLedger:
-    """Keep this member's shares and what it knows about the other holders."""
+    """Keep this member's shares and its estimates of the other holders' tokens."""
 
     def __init__(
         self,
@@ -132,7 +139,7 @@
         self._shares.take_over_from(member, now_ms)
 
     def expire_shares(self, now_ms: float) -> None:
-        """Reset all shares after this node was ineligible; see `LocalShares`."""
+        """Restart all shares empty; see `LocalShares.expire_shares`."""
         self._shares.expire_shares(now_ms)
 
     def holders(self, customer: Customer) -> tuple[MemberId, ...]:
@@ -283,11 +290,11 @@
         return self._spend(customer, now_ms)
 
     def top_up(self, customer: CustomerId, now_ms: float) -> Borrow | None:
-        """Return which holder to borrow idle tokens from, after own ones were used.
+        """Return which holder to borrow idle tokens from, after this one spent its own.
 
-        Call it after own spending, and `TOP_UP_MS` after a loan to a request with
-        ``gather``, when its reserved capacity is free again. Not after other loans:
-        those went to a holder that had less.
+        Call it after this holder spent a token, and `TOP_UP_MS` after it answered a
+        request with ``gather``, when the capacity reserved for the loan is free again.
+        Do not call it after other loans: those went to a holder that had less.
 
         With a burst of two in two shares, one share is soon full while the other is
         empty, and the refill of the full one is lost: one request in nine was refused
