--- a/src/crocusspindle/cli.py
+++ b/src/crocusspindle/cli.py
@@ -1,7 +1,9 @@
 """Define the command line of crocusspindle.
 
-Only ``node`` and ``check-settings`` import packages with native parts, so the other
-commands run from the binary without unpacking.
+``node``, ``check-settings``, ``serve`` and ``held`` need packages that cannot be
+imported without their native parts, and import them only when they run. The packages of
+the other commands work without native parts, so these commands run from the binary
+without unpacking.
 """
 
 import asyncio
@@ -271,7 +273,7 @@
 
 def run(arguments: Sequence[str] | None = None) -> int:
     """Run one command and return its exit code."""
-    # Fire shows help on a terminal through a pager, which is a child process.
+    # Selects Fire's built-in pager for help; others run in a child process.
     os.environ["PAGER"] = "-"
     given = list(sys.argv[1:] if arguments is None else arguments)
     if given in (["--help"], ["-h"], ["help"]):
--- a/src/crocusspindle/docs_reference.py
+++ b/src/crocusspindle/docs_reference.py
@@ -83,10 +83,9 @@
 
 
 def node_instruments() -> list[Instrument]:
-    """Return the instruments of a node in the order of their modules' source.
+    """Return the instruments of a node in the order of the source.
 
-    The order of declaration follows the imports, which depends on the modules that
-    are already loaded.
+    The order in which they are declared depends on which modules were imported first.
     """
     names = {**vars(instruments), **vars(gateway_instruments)}
     instruments_declared = list(declared().values())
--- a/src/crocusspindle/errors.py
+++ b/src/crocusspindle/errors.py
@@ -70,4 +70,4 @@
 
 
 class KernelError(CrocusspindleError):
-    """Report services that cannot be found, started or stopped."""
+    """Report services that are missing, misconfigured or failed."""
--- a/src/crocusspindle/exit_codes.py
+++ b/src/crocusspindle/exit_codes.py
@@ -22,7 +22,7 @@
     ExitCode.DONE: "The command succeeded.",
     ExitCode.FAILED: "The command failed for a reason without a code of its own.",
     ExitCode.USAGE: "The command line is wrong; nothing was done.",
-    ExitCode.FINDINGS: "The settings or the ticket are invalid; nothing was done.",
+    ExitCode.FINDINGS: "Settings, ticket or log files are invalid; nothing was done.",
     ExitCode.NOT_ALLOWED: "The key is unknown or lacks permission; nothing was done.",
     ExitCode.CONFLICT: "The ticket number has other content; nothing was done.",
     ExitCode.NOT_FOUND: "There is no such ticket.",
--- a/src/crocusspindle/ids.py
+++ b/src/crocusspindle/ids.py
@@ -14,7 +14,7 @@
 """The ``host:port`` of one target."""
 
 RequestId = NewType("RequestId", int)
-"""A request, unique within the node that runs the core."""
+"""A request, unique within the node that places it."""
 
 AttemptId = NewType("AttemptId", int)
 """One attempt of a request at one target, unique within a group coordinator."""
--- a/src/crocusspindle/instruments.py
+++ b/src/crocusspindle/instruments.py
@@ -160,7 +160,7 @@
     "share_loans",
     InstrumentKind.COUNTER,
     unit="loans",
-    meaning="Loans of tokens between holders of shares.",
+    meaning="Attempts to lend tokens to another node, also those that lent none.",
     when_rising="Callers use outdated addresses, or holders were replaced.",
 )
 CALLER_CONNECTIONS: Final = declare(
--- a/src/crocusspindle/kernel.py
+++ b/src/crocusspindle/kernel.py
@@ -113,7 +113,7 @@
             raise KernelError(f"services need each other: {cycle}") from error
 
     async def start(self) -> None:
-        """Start the services in order; if one fails, stop those started."""
+        """Start the services in order; if one fails, stop it and those started."""
         for name in self.start_order():
             service = self._services[name]
             try:
--- a/src/crocusspindle/losses.py
+++ b/src/crocusspindle/losses.py
@@ -18,7 +18,7 @@
 SUCCESS_PREFIX: Final = "2"
 LATE: Final = "late"
 CLIENT_ERRORS: Final = frozenset({"400", "401", "403", "404", "413", "431"})
-"""Outcomes of invalid requests, which don't count as losses."""
+"""Outcomes of invalid requests, which are counted neither as requests nor as losses."""
 
 MAX_SECONDS_PER_LOSS: Final = 5
 """Seconds listed for each kind of loss, those with the most losses first."""
--- a/src/crocusspindle/metrics.py
+++ b/src/crocusspindle/metrics.py
@@ -23,7 +23,7 @@
 
 LABEL_VALUES_MAX: Final = 100
 """Maximum number of values of one label. With 520,000 customers, an unbounded label
-would take more memory than a node's whole control budget and stop the scraper."""
+would exceed a node's memory limit and stop the scraper."""
 
 LATENCY_BUCKETS_MS: Final = (
     *(0.5, 1, 2, 3.5, 5, 7.1, 10, 20, 50, 100),
--- a/src/crocusspindle/settings.py
+++ b/src/crocusspindle/settings.py
@@ -76,10 +76,10 @@
     ]
 
 
-def _message(kind: str, message: str) -> str:
-    if kind == "extra_forbidden":
+def _message(error_type: str, message: str) -> str:
+    if error_type == "extra_forbidden":
         return "unknown key"
-    if kind == "missing":
+    if error_type == "missing":
         return "is missing"
     return message.removeprefix("Value error, ")
 
--- a/src/crocusspindle/settings_schema.py
+++ b/src/crocusspindle/settings_schema.py
@@ -61,7 +61,8 @@
     max_header_bytes: int = Field(
         default=16_384,
         ge=1024,
-        description="Maximum bytes of one header line; above it: 400.",
+        description="Maximum bytes of the request line and of each header line; "
+        "above it: 400.",
     )
     body_buffer_bytes: int = Field(
         default=262_144,
--- a/src/crocusspindle/tls.py
+++ b/src/crocusspindle/tls.py
@@ -64,7 +64,7 @@
 
 
 def server_context(settings: TlsSettings) -> WatchedContext:
-    """Return the context of a port; peers must present a certificate of the CA."""
+    """Return a port's context; the peer port requires client certificates of the CA."""
     return WatchedContext.from_config(settings, ssl.PROTOCOL_TLS_SERVER)
 
 
--- a/src/crocusspindle/unpack.py
+++ b/src/crocusspindle/unpack.py
@@ -52,8 +52,8 @@
 ) -> Path | None:
     """Return the unpack folder from the environment or the settings.
 
-    None means that the command needs no native parts. Raise ``UnpackError`` if it
-    needs them and no folder is configured.
+    None means that the variable is not set and the command takes no settings file of a
+    node. Raise ``UnpackError`` if that file names no folder.
     """
     configured = environment.get(UNPACK_ENV)
     if configured:
@@ -71,7 +71,7 @@
 
 
 def settings_file(arguments: Sequence[str]) -> str | None:
-    """Return the settings file given on a command line."""
+    """Return the settings file given to ``node`` or ``check-settings``, or None."""
     given = list(arguments)
     command = next((word for word in given if word in SETTINGS_COMMANDS), None)
     if command is None or "--help" in given:
