--- a/tests/core/ledger_simulation.py
+++ b/tests/core/ledger_simulation.py
@@ -28,6 +28,7 @@
 
 LIMITS = LedgerLimits(retention_ms=180_000.0, margin_ms=15_000.0)
 DONE = RecordState.DONE
+# A key is used only within one epoch, which is shorter than the retention window.
 KEY_EPOCH_MS = 120_000.0
 ANSWER = StoredResponse(200, b"digest", (("a", "b"),), b"paid")
 
--- a/tests/core/shares_world.py
+++ b/tests/core/shares_world.py
@@ -356,8 +356,10 @@
         node = rng.choice(nodes)
         draw = rng.random()
         if draw < 0.35:
-            some = rng.sample(nodes, rng.randrange(1, len(nodes) + 1))
-            self.burst(rng.choice(CUSTOMERS).customer, some, rng.choice([0.3, 0.9]))
+            burst_nodes = rng.sample(nodes, rng.randrange(1, len(nodes) + 1))
+            self.burst(
+                rng.choice(CUSTOMERS).customer, burst_nodes, rng.choice([0.3, 0.9])
+            )
         elif draw < 0.55 and self.loan_requests:
             self.deliver(rng.choice(self.loan_requests))
         elif draw < 0.60 and self.loan_requests:
--- a/tests/core/test_caller_addresses.py
+++ b/tests/core/test_caller_addresses.py
@@ -1,4 +1,4 @@
-"""Return the right addresses to callers while nodes start and leave."""
+"""Check the addresses that callers get while nodes start and leave."""
 
 from crocusspindle.core.caller_addresses import MAX_ADDRESSES, caller_addresses
 from crocusspindle.core.members import ViewMember
--- a/tests/core/test_eligibility.py
+++ b/tests/core/test_eligibility.py
@@ -106,6 +106,8 @@
 
 
 def test_a_lost_platform_counts_as_unreachable_until_the_next_view() -> None:
+    """The platform is back under the same view. If it counted as reachable again, the
+    table and the peers' memory could decide operations at the same time."""
     eligibility = make_eligibility()
     eligibility.record_read(0.0)
     eligibility.record_platform_failure(1_000.0)
@@ -201,9 +203,11 @@
 
     @rule(sender=st.integers(0, 9), blocks_sending=st.booleans())
     def cut_one_way(self, sender: int, blocks_sending: bool) -> None:
-        one = self.pick(sender).own_member.member
+        member = self.pick(sender).own_member.member
         for other in self.fleet.nodes:
-            self.fleet.blocked.add((one, other) if blocks_sending else (other, one))
+            self.fleet.blocked.add(
+                (member, other) if blocks_sending else (other, member)
+            )
 
     @rule()
     def heal(self) -> None:
--- a/tests/core/test_members.py
+++ b/tests/core/test_members.py
@@ -109,6 +109,8 @@
 
 
 def test_one_view_removes_at_most_a_minority() -> None:
+    """If one view removed a majority of the previous view, no majority of that view
+    would be left to confirm it."""
     membership = membership_of(7)
     for name in view_of(7).names[2:]:
         for witness in ("n1", "n2"):
--- a/tests/core/test_operations.py
+++ b/tests/core/test_operations.py
@@ -66,7 +66,7 @@
 
     def holders(self) -> list[Node]:
         view = self.fleet.views[max(self.fleet.views)]
-        return [self.fleet.nodes[one] for one in holders(self.name, view.names)]
+        return [self.fleet.nodes[member] for member in holders(self.name, view.names)]
 
     def order(self, node: Node, *faults: str) -> Decision | None:
         return self.simulation.order(node, self.name, list(faults), prefer_peer=False)
--- a/tests/core/test_operations_machine.py
+++ b/tests/core/test_operations_machine.py
@@ -51,7 +51,7 @@
         """Send a request to a holder under the newest or the oldest view in use."""
         epoch = int(self.fleet.time_ms // KEY_EPOCH_MS)
         name = OperationName(CustomerId("club"), OperationKey(f"{key}.{epoch}"))
-        views = sorted({one.view.number for one in self.fleet.awake() if one.view})
+        views = sorted({peer.view.number for peer in self.fleet.awake() if peer.view})
         if not views:
             return
         newest_or_oldest = self.fleet.views[views[0 if stale else -1]]
--- a/tests/core/test_shares.py
+++ b/tests/core/test_shares.py
@@ -173,6 +173,8 @@
 
 
 def test_a_new_holder_opens_empty_after_the_lease():
+    # The previous holder may spend for one more lease. A successor that opens earlier,
+    # or full, would admit a second burst.
     ledger = ShareLedger.from_config(SETTINGS, HOLDERS[0])
     ledger.set_limit(CLUB, 0.0)
     ledger.set_view(ViewNumber(1), MEMBERS, 0.0)
--- a/tests/core/test_shares_bound.py
+++ b/tests/core/test_shares_bound.py
@@ -1,4 +1,4 @@
-"""Check that in any t seconds all hosts together admit at most burst + rate x t."""
+"""Check that in any t seconds all nodes together admit at most burst + rate x t."""
 
 import pytest
 from hypothesis import settings
--- a/tests/core/test_tickets.py
+++ b/tests/core/test_tickets.py
@@ -227,9 +227,9 @@
         else:
             log.record_head(TicketNumber(number))
             ready = []
-        for one in ready:
-            assert one.number == state + 1
-            state = one.number
+        for applied in ready:
+            assert applied.number == state + 1
+            state = applied.number
         assert log.applied == state >= before
         assert not set(log.missing()) & set(range(1, state + 1))
     for number in log.missing():
--- a/tests/product/test_calling.py
+++ b/tests/product/test_calling.py
@@ -1,4 +1,4 @@
-"""Tests that the session of test callers sends each request once."""
+"""Check that the session of test callers sends each request once."""
 
 import asyncio
 
--- a/tests/product/test_docs.py
+++ b/tests/product/test_docs.py
@@ -74,6 +74,7 @@
 def test_commands_in_docs_are_accepted(doc, monkeypatch):
     # Other tests cover what the commands do; here only the command line is parsed.
     monkeypatch.setattr(cli, "_perform", lambda action: ExitCode.DONE)
+    # Optional flags stand in brackets, as in `[--after 0]`, and are left out.
     for words in commands_in(doc.read_text(encoding="utf-8")):
         given = [PLACEHOLDERS.get(word, word) for word in words]
         given = [word for word in given if not word.startswith(("[", "0]", "100]"))]
--- a/tests/product/test_unpack.py
+++ b/tests/product/test_unpack.py
@@ -35,7 +35,8 @@
 def test_interrupted_unpacking_leaves_no_folder(tmp_path):
     """A node is killed, or its folder is full, while it unpacks.
 
-    The next start must unpack everything again, not load an incomplete folder.
+    The next start must unpack everything again, not load an incomplete folder. Here a
+    file that the archive lacks interrupts the unpacking.
     """
     archive, folder = tmp_path / "bundle", tmp_path / "memory"
     with zipfile.ZipFile(archive, "w") as bundle:
