--- a/src/crocusspindle/gateway/__main__.py
+++ b/src/crocusspindle/gateway/__main__.py
@@ -1,7 +1,7 @@
 """Start a node that serves on the platform, with few imports.
 
-A host serves no callers while its process restarts. The libraries of the command line
-and TLS certificate authorities, which this node does not use, take half of the 0.7 s of
+A host serves no callers while its process restarts. The command-line libraries and the
+TLS certificate authorities, neither of which this node uses, take half of the 0.7 s of
 processor time of a start on a small host.
 """
 
@@ -10,7 +10,10 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve with the settings that the first argument or the environment names."""
+    """Serve with the settings that the first argument or the environment names.
+
+    Return the exit status of the process.
+    """
     # Without the first, uvloop opens an io_uring descriptor at import. Without the
     # others, the HTTP library loads all TLS authorities twice at import.
     os.environ.update(
@@ -21,10 +24,10 @@
     )
 
     began_ms = now_ms()
-    from crocusspindle.errors import (  # noqa: PLC0415 - the same
+    from crocusspindle.errors import (  # noqa: PLC0415 - as above
         CrocusspindleError,
     )
-    from crocusspindle.gateway.serve import (  # noqa: PLC0415 - the same
+    from crocusspindle.gateway.serve import (  # noqa: PLC0415 - as above
         serve,
     )
 
--- a/src/crocusspindle/gateway/admission.py
+++ b/src/crocusspindle/gateway/admission.py
@@ -19,7 +19,8 @@
 from crocusspindle.services.targets import forwarded
 
 CONFIRMATION_MARGIN_MS: Final = 200.0
-"""Part of the key revocation time reserved for a request on its way to the check."""
+"""A key is refused this long before the revocation time has passed since its last
+confirmation, to cover requests in transit."""
 
 DEFAULT_TIMEOUT_MS: Final = 60_000.0
 """Timeout of a caller that sends no valid timeout header."""
@@ -90,10 +91,10 @@
     def _route(
         self, configuration: Configuration, request: web.BaseRequest
     ) -> RouteRule:
-        host = request.headers.get("Host", "").rpartition(":")
-        name = (host[0] if host[1] and host[2].isdigit() else "".join(host)).lower()
+        parts = request.headers.get("Host", "").rpartition(":")
+        host = (parts[0] if parts[1] and parts[2].isdigit() else "".join(parts)).lower()
         path = request.raw_path.partition("?")[0]
-        route = configuration.route(name, path)
+        route = configuration.route(host, path)
         if route is not None:
             return route
         if self._is_stale(self._fleet_state.configuration.age_ms(now_ms())):
@@ -140,7 +141,10 @@
     async def _read_prefix(
         self, configuration: Configuration, request: web.BaseRequest, deadline_ms: float
     ) -> bytes | None:
-        """Return the whole body, or the prefix of one that is too long to buffer."""
+        """Return the whole body, or the prefix of one that is too long to buffer.
+
+        Return None for a request without a body.
+        """
         if not request.body_exists:
             return None
         await _send_continue(request)
--- a/src/crocusspindle/gateway/assembly.py
+++ b/src/crocusspindle/gateway/assembly.py
@@ -37,7 +37,7 @@
     platform_type = forms().get(settings.platform_form)
     if platform_type is None:
         known_forms = ", ".join(sorted(forms()))
-        message = f"{settings.platform_form!r} is not known, only {known_forms}"
+        message = f"{settings.platform_form!r} is unknown; known forms: {known_forms}"
         raise SettingsError([Finding("settings", "platform.form", message)])
     return platform_type.from_config(settings.platform)
 
--- a/src/crocusspindle/gateway/attempt_runner.py
+++ b/src/crocusspindle/gateway/attempt_runner.py
@@ -19,12 +19,12 @@
 from crocusspindle.metrics import Metrics
 
 HEDGE_RETRY_MS: Final = 150.0
-"""Delay before a hedge that found no free slot is requested again. Slots become free
-often enough, and a request whose target hangs has no other way to complete."""
+"""Delay before a refused hedge is requested again. Slots become free often, and a
+request whose target hangs has no other way to complete."""
 
 MAX_TARGETS_TRIED: Final = 4
-"""Targets that a request is sent to, if none runs it, before the caller is told so. If
-half of the targets refuse, one request in sixteen meets four that do."""
+"""Maximum number of targets to which a request is sent if none of them runs it. If half
+of the targets refuse, one request in sixteen meets four that do."""
 
 
 class AttemptRunner:
@@ -53,7 +53,11 @@
         await self._client.stop()
 
     async def send(self, context: RequestContext) -> AttemptResult:
-        """Return the last attempt's result; raise ``Refusal`` if there was none."""
+        """Return the last attempt's result.
+
+        Raise ``Refusal`` if no target is granted and the last attempt, if there was
+        one, did not run the request.
+        """
         service = choose_service(context.route.weighted_services, self._rng.random())
         retry = False
         last_result: AttemptResult | None = None
@@ -129,11 +133,11 @@
                 return await first
             return await _first_answered(first, second)
         finally:
-            unfinished = [task for task in (first, second) if task is not None]
-            for task in unfinished:
+            attempts = [task for task in (first, second) if task is not None]
+            for task in attempts:
                 task.cancel()
-            # Wait until their outcomes reach the placer and this request's log line.
-            await asyncio.gather(*unfinished, return_exceptions=True)
+            # Wait until both have recorded their outcomes for this request's log line.
+            await asyncio.gather(*attempts, return_exceptions=True)
 
     def _may_hedge(self, context: RequestContext, wait_ms: float) -> bool:
         return (
--- a/src/crocusspindle/gateway/caller_port.py
+++ b/src/crocusspindle/gateway/caller_port.py
@@ -2,8 +2,8 @@
 
 Callers pipeline requests. The HTTP library handles them one after the other, so a
 request behind one that meets a slow target would miss its deadline before it was sent.
-Idempotent requests are started as soon as they are read; responses still leave in the
-order of the requests.
+GETs on idempotent routes are started as soon as they are read; responses still leave in
+the order of the requests.
 """
 
 import asyncio
@@ -134,8 +134,9 @@
         return bool(self._started_early)
 
     def _process_keepalive(self) -> None:
-        # The library sets a timer that fired early again for the same time, a thousand
-        # times: half of the idle connections end with a millisecond of processor time.
+        # When this timer fires early, the library sets it again for the same time, and
+        # it fires early a thousand times in a row. Without the check, closing costs a
+        # millisecond of processor time for half of the idle connections.
         early_s = self._next_keepalive_close_time - asyncio.get_running_loop().time()
         if 0.0 < early_s < TIMER_EARLY_S:
             loop = asyncio.get_running_loop()
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -20,8 +20,8 @@
 from crocusspindle.metrics import Metrics
 
 PEER_TIMEOUT_S: Final = 0.3
-"""Time after which a silent host is given up; it learns of crashes from the reader or
-the store."""
+"""Time after which a crash record is no longer sent to a silent host. It receives the
+record from the reader or the store."""
 
 
 class CrashSharing(Service):
--- a/src/crocusspindle/gateway/dialect.py
+++ b/src/crocusspindle/gateway/dialect.py
@@ -8,9 +8,14 @@
 class Dialect:
     """Hold header names, paths, and the functions that parse and encode their content.
 
+    `key` is the header of a caller's API key. A target sets `target_stamp` in each
+    successful response, and `not_run` if it did not run the request. Callers discover
+    the addresses of nodes at `where_path`: `caller_domain` parses the query, and
+    `where_response` encodes the addresses and for how many seconds they are valid.
+
     `target_limit_per_s` reads from a response's headers the requests per second that
-    its target accepts from the whole fleet, None if there is no such header. It raises
-    ``InvalidInputError`` if the value is not such a number.
+    its target accepts from the whole fleet; it returns None if the header is missing
+    and raises ``InvalidInputError`` if its value is not a rate.
     """
 
     request_id: str
--- a/src/crocusspindle/gateway/document_deltas.py
+++ b/src/crocusspindle/gateway/document_deltas.py
@@ -56,7 +56,8 @@
         try:
             return _decompressed(data, self._encodings.get(base, b""))
         except zstandard.ZstdError:
-            # The same key has another encoding here; the next request gets a full one.
+            # The same key has another encoding here; the next state requested from the
+            # peer holds full documents.
             return None
 
 
--- a/src/crocusspindle/gateway/entry.py
+++ b/src/crocusspindle/gateway/entry.py
@@ -90,9 +90,9 @@
     ) -> asyncio.Task[ProcessedRequest] | None:
         """Start a pipelined request before the responses ahead of it are sent.
 
-        Return None for a non-idempotent request, which must not start early: if its
-        connection closes before the responses ahead, the caller assumes that the
-        request was not read.
+        Return None while this node is leaving, and for a request that is not known to
+        be idempotent. That must not start early: if its connection closes before the
+        responses ahead of it are sent, the caller assumes that it was not read.
         """
         if self.leaving or not self._admission.is_idempotent(request):
             return None
--- a/src/crocusspindle/gateway/exchange.py
+++ b/src/crocusspindle/gateway/exchange.py
@@ -29,8 +29,8 @@
 
 LARGE_BYTES: Final = 1_400
 """A response above this fills more than one packet and may queue for long on a narrow
-link. Sent again for each copy of its request it would saturate the link, so a copy gets
-a busy signal while the response may still be in flight."""
+link. Sent again for each copy of its request, it would saturate the link, so a copy
+gets a busy signal while the response may still be in flight."""
 
 LARGE_RESEND_S: Final = 0.5
 """After this a large response counts as lost; the next copy of its request gets it."""
@@ -63,17 +63,19 @@
         self._pending: dict[int, _PendingRequest] = {}
         self._responses: dict[tuple[Address, int], _SentResponse | None] = {}
 
-    def handle(self, kind: type[Any], handler: Handler) -> None:
+    def handle(self, message_type: type[Any], handler: Handler) -> None:
         """Call a handler for each message of a type; its result is the response.
 
         Messages do not name their sender: its address identifies it, and names would
         be the longest part of most datagrams.
         """
-        self._handlers[kind] = handler
+        self._handlers[message_type] = handler
 
-    def handle_late_response(self, kind: type[Any], handler: LateHandler) -> None:
+    def handle_late_response(
+        self, message_type: type[Any], handler: LateHandler
+    ) -> None:
         """Call a handler for responses whose request was given up."""
-        self._late_handlers[kind] = handler
+        self._late_handlers[message_type] = handler
 
     async def start(self) -> None:
         """Open the socket."""
@@ -96,7 +98,7 @@
     async def request(
         self, to: Address, content: Any, silent_s: float, limit_s: float
     ) -> Any | None:
-        """Send a message until a response arrives; return None if the peer is silent.
+        """Send a message until a response arrives; return None if none does in time.
 
         Parameters
         ----------
@@ -113,9 +115,9 @@
         loop = asyncio.get_running_loop()
         pending = _PendingRequest(loop.create_future(), loop.time())
         self._pending[number] = pending
-        deadline = loop.time() + limit_s
+        deadline_s = loop.time() + limit_s
         try:
-            while loop.time() < min(deadline, pending.last_received + silent_s):
+            while loop.time() < min(deadline_s, pending.last_received_s + silent_s):
                 self._send(to, data, type(content))
                 if await _wait_until_done(pending.response, RESEND_S):
                     return pending.response.result()
@@ -130,8 +132,8 @@
         except TimeoutError:
             return None
 
-    def _send(self, to: Address, data: bytes, kind: type[Any] | None) -> None:
-        name = BUSY_NAME if kind is None else kind.__name__
+    def _send(self, to: Address, data: bytes, message_type: type[Any] | None) -> None:
+        name = BUSY_NAME if message_type is None else message_type.__name__
         self._metrics.add(instruments.MESSAGES, type=name)
         self._metrics.add(instruments.MESSAGE_BYTES, len(data), type=name)
         if self._transport is not None and not self._transport.is_closing():
@@ -157,7 +159,7 @@
     def _receive_busy(self, number: int) -> None:
         pending = self._pending.get(number)
         if pending is not None:
-            pending.last_received = asyncio.get_running_loop().time()
+            pending.last_received_s = asyncio.get_running_loop().time()
 
     def _receive_response(self, number: int, content: Any, sender: Address) -> None:
         pending = self._pending.get(number)
@@ -182,12 +184,12 @@
         self, key: tuple[Address, int], sent_response: "_SentResponse | None"
     ) -> None:
         sender, number = key
-        now = asyncio.get_running_loop().time()
-        if sent_response is None or sent_response.may_be_in_flight(now):
+        now_s = asyncio.get_running_loop().time()
+        if sent_response is None or sent_response.may_be_in_flight(now_s):
             self._send(sender, encode_datagram([BUSY, number]), None)
             return
-        sent_response.sent_at = now
-        self._send(sender, sent_response.data, sent_response.kind)
+        sent_response.sent_at_s = now_s
+        self._send(sender, sent_response.data, sent_response.message_type)
 
     async def _respond(self, key: tuple[Address, int], content: Any) -> None:
         sender, number = key
@@ -196,8 +198,8 @@
             self._responses.pop(key, None)
             return
         data = encode_datagram([RESPONSE, number, *pack(response)])
-        now = asyncio.get_running_loop().time()
-        self._responses[key] = _SentResponse(data, type(response), now)
+        now_s = asyncio.get_running_loop().time()
+        self._responses[key] = _SentResponse(data, type(response), now_s)
         self._send(sender, data, type(response))
 
     async def _call(self, content: Any, sender: Address) -> Any | None:
@@ -210,19 +212,19 @@
     """Keep a response for copies of its request, and when it was last sent."""
 
     data: bytes
-    kind: type[Any]
-    sent_at: float
+    message_type: type[Any]
+    sent_at_s: float
 
-    def may_be_in_flight(self, now: float) -> bool:
-        return len(self.data) > LARGE_BYTES and now - self.sent_at < LARGE_RESEND_S
+    def may_be_in_flight(self, now_s: float) -> bool:
+        return len(self.data) > LARGE_BYTES and now_s - self.sent_at_s < LARGE_RESEND_S
 
 
 class _PendingRequest:
     """Hold a request until its response arrives."""
 
-    def __init__(self, response: asyncio.Future[Any], last_received: float) -> None:
+    def __init__(self, response: asyncio.Future[Any], last_received_s: float) -> None:
         self.response = response
-        self.last_received = last_received
+        self.last_received_s = last_received_s
 
 
 async def _wait_until_done(future: asyncio.Future[Any], wait_s: float) -> bool:
@@ -231,14 +233,14 @@
 
 
 class _Protocol(asyncio.DatagramProtocol):
-    """Pass datagrams on; ignore errors of single ones."""
+    """Pass received datagrams to a function; ignore errors of sent ones."""
 
     def __init__(self, received: Callable[[bytes, Address], None]) -> None:
         self._receive = received
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Pass one datagram on."""
+        """Pass one datagram to the function."""
         self._receive(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore a closed port: the request times out."""
+        """Ignore the error of a closed port; the request times out."""
--- a/src/crocusspindle/gateway/fleet_state.py
+++ b/src/crocusspindle/gateway/fleet_state.py
@@ -29,11 +29,13 @@
 from crocusspindle.log_lines import Logger, log_state_change
 
 FIRST_READ_MS: Final = 1_000.0
-"""How long after the start requests wait for the first configuration instead of being
-refused. It is read within 0.1 to 0.3 s; after this time the platform is unreachable,
-possibly for long."""
+"""How long after the start requests wait for the first configuration and the first list
+of targets instead of being refused. The configuration is read within 0.1 to 0.3 s;
+after this time the platform is unreachable, possibly for long."""
 
 NO_DIGEST: Final = 0
+"""Digest of a document that a node does not hold; no encoding has it."""
+
 UNCONFIRMED_AGE_MS: Final = 1e9
 """Age reported for state that has never been confirmed."""
 
@@ -87,9 +89,9 @@
         self._needs_full_documents = False
         self._listeners: list[Callable[[], None]] = []
 
-    def add_listener(self, changed: Callable[[], None]) -> None:
-        """Call a function after each change of content or confirmation time."""
-        self._listeners.append(changed)
+    def add_listener(self, listener: Callable[[], None]) -> None:
+        """Register a function for `notify` to call."""
+        self._listeners.append(listener)
 
     def notify(self) -> None:
         """Notify the listeners that the state may have changed."""
@@ -186,9 +188,10 @@
         self._encodings["crashes"].update(self.crash_digest, encoding)
 
     def apply_state(self, state: State, sent_ms: float) -> bool:
-        """Apply a reader's response; its ages count from ``sent_ms`` of the request.
+        """Apply a peer's state; its ages count from ``sent_ms`` of the request.
 
-        Return False if a delta could not be applied because its base is not held.
+        Return False if a delta could not be applied because its base is not held. With
+        a ``sent_ms`` of minus infinity the state confirms nothing.
         """
         configuration = self._apply_delta("configuration", state.configuration)
         if configuration is not None:
@@ -226,7 +229,7 @@
             )
         )
         # A version that was written twice has two encodings under one key. Deltas to
-        # one never apply to the other, so request full documents until one arrives.
+        # one never apply to the other, so request full documents until they arrive.
         self._needs_full_documents = not applied
         return applied
 
--- a/src/crocusspindle/gateway/held_requests.py
+++ b/src/crocusspindle/gateway/held_requests.py
@@ -21,6 +21,7 @@
 from crocusspindle.platform import settings_file, table_store
 from crocusspindle.platform.fleet_platform import FleetPlatform, StoredRow, Table
 
+# Importing `table_store` registers its platform.
 __all__ = ["free_request", "held_requests", "open_platform", "table_store"]
 
 Rows = Mapping[ContentDigest, tuple[StoredRow, CrashRecord]]
@@ -55,7 +56,11 @@
 
 
 async def free_request(platform: FleetPlatform, content: str) -> dict[str, Any]:
-    """Free a request on all hosts; raise ``InvalidInputError`` if none is held."""
+    """Free a request on all hosts.
+
+    Raise ``InvalidInputError`` if no crash is recorded for it, and
+    ``PlatformUnavailableError`` if its row was changed meanwhile.
+    """
     stored = (await _rows(platform)).get(ContentDigest(content))
     if stored is None or not stored[1].crashes:
         message = f"no request with content {content!r} is held"
--- a/src/crocusspindle/gateway/instruments.py
+++ b/src/crocusspindle/gateway/instruments.py
@@ -9,7 +9,8 @@
     InstrumentKind.COUNTER,
     unit="requests",
     labels=("outcome",),
-    meaning="Requests that were sent to a target, by the caller's response status.",
+    meaning="Requests that got a target's response, by its status, or whose caller "
+    "left.",
     when_rising="More 502 and 504 than usual: see `gateway_sendings` for the outcomes "
     "of their attempts.",
 )
--- a/src/crocusspindle/gateway/membership.py
+++ b/src/crocusspindle/gateway/membership.py
@@ -64,10 +64,13 @@
 respond to the probe either."""
 
 DEFERRED_PING_S: Final = 0.25
-"""Ping interval while the reader defers documents, which it sends once it has room."""
+"""Ping interval while the reader defers documents. It sends them once its limit for
+documents allows."""
 
 DOCUMENTS_TIMEOUT_MS: Final = 750.0
-"""A reader with a wide link sends full documents to hundreds of hosts within this."""
+"""Time for which a node waits for deferred documents before it reads the platform. A
+reader with a wide link sends full documents to hundreds of hosts within this. A node
+that joins a running fleet does not wait the first time."""
 
 FLEET_START_DELAY_S: Final = 0.5
 """Delay before the first ping when a whole fleet starts; nodes start within 0.3 s."""
@@ -109,7 +112,7 @@
         self._known_nodes: dict[HostId, NodeAddress] = {node.host: node}
         self._node_by_sender: dict[tuple[Address, str], NodeAddress] = {}
         self._last_ping_ms: dict[HostId, float] = {}
-        self._ready: dict[HostId, bool] = {}
+        self._ready_by_host: dict[HostId, bool] = {}
         self._pushed_keys = NOTHING_HELD
         self._applying_push = False
         self._deferred_since_ms = math.inf
@@ -147,7 +150,7 @@
         await self._registration.find_fleet()
         for node in self._platform_reader.nodes.values():
             self._add_known_node(node)
-        # Only the likely readers need to know this process. Notifying all nodes would
+        # Only the likely readers need this process's address. Notifying all nodes would
         # cost a message for each pair of nodes when a fleet starts.
         for host in self._candidates()[:MAX_READERS_TRIED]:
             to = self.address(host)
@@ -285,7 +288,7 @@
             # A row of the host's previous process may have replaced this entry.
             self._known_nodes[host] = node
             self._last_ping_ms[host] = -math.inf if ping.leaving else now_ms()
-            self._ready[host] = ping.ready
+            self._ready_by_host[host] = ping.ready
             if ping.leaving:
                 self._update_open_nodes()
         state = self._fleet_state.state_for(
@@ -323,12 +326,12 @@
         return self._fleet_state.state_for(HeldKeys(*peek.held))
 
     async def _wait_for_first_reads(self) -> None:
-        # All pings wait for the first responses of the store after an idle period.
-        # Without them, nodes would move on to the next reader, which was idle as well.
+        # After an idle period, all pings wait for the first responses of the store.
+        # Otherwise nodes would move on to the next reader, which was idle as well.
         deadline_ms = self._platform_reader.active_since_ms + FIRST_READS_MS
         while now_ms() < deadline_ms:
-            oldest = self._fleet_state.configuration.age_ms(now_ms())
-            if oldest < STALE_STATE_MS:
+            age_ms = self._fleet_state.configuration.age_ms(now_ms())
+            if age_ms < STALE_STATE_MS:
                 return
             await asyncio.sleep(0.01)
 
@@ -346,7 +349,7 @@
     def _push(self) -> None:
         self._view_keeper.record_view_change()
         # Don't relay a push: two readers with different lists would swap them without
-        # end at network speed. Nodes that ping this one get them then.
+        # end at network speed. Nodes that ping this one get them with their next ping.
         if self._applying_push or not self._platform_reader.active:
             return
         newest = self._fleet_state.current_keys()
@@ -360,7 +363,7 @@
             if last_ping_ms <= oldest_ping_ms or to is None or host == self._node.host:
                 continue
             if not self._may_send(state):
-                # The others learn of it with their next ping.
+                # The other nodes get the state with their next ping.
                 return
             self._exchange.notify(to, state)
 
@@ -379,7 +382,9 @@
         open_nodes = sorted(
             (node.caller_address, node.domain)
             for host, node in self._present_nodes().items()
-            if (self.ready if host == self._node.host else self._ready.get(host))
+            if (
+                self.ready if host == self._node.host else self._ready_by_host.get(host)
+            )
         )
         if open_nodes != self._fleet_state.open_nodes:
             self._fleet_state.update_open_nodes(open_nodes)
--- a/src/crocusspindle/gateway/messages.py
+++ b/src/crocusspindle/gateway/messages.py
@@ -26,28 +26,31 @@
 def message(code: int) -> Callable[[Kind], Kind]:
     """Register a message type under its number on the wire."""
 
-    def add(kind: Kind) -> Kind:
+    def add(message_type: Kind) -> Kind:
         if code in _BY_CODE:
             raise ValueError(f"message {code} is registered twice")
-        _BY_CODE[code] = kind
-        _CODES[kind] = code
-        _FIELDS[kind] = tuple(entry.name for entry in fields(kind))
-        return kind
+        _BY_CODE[code] = message_type
+        _CODES[message_type] = code
+        _FIELDS[message_type] = tuple(entry.name for entry in fields(message_type))
+        return message_type
 
     return add
 
 
 def pack(content: Any) -> list[Any]:
     """Convert a message to a list that msgpack can encode."""
-    kind = type(content)
-    return [_CODES[kind], *(getattr(content, name) for name in _FIELDS[kind])]
+    message_type = type(content)
+    return [
+        _CODES[message_type],
+        *(getattr(content, name) for name in _FIELDS[message_type]),
+    ]
 
 
 def unpack(parts: Any) -> Any:
     """Convert the output of `pack` back; raise ``PeerError`` if it is malformed."""
     try:
-        kind = _BY_CODE[parts[0]]
-        return kind(*parts[1:])
+        message_type = _BY_CODE[parts[0]]
+        return message_type(*parts[1:])
     except (TypeError, KeyError, IndexError) as error:
         raise PeerError(f"message cannot be decoded: {error!r}") from error
 
@@ -100,8 +103,8 @@
     requests a `Hello` from the pinging node. ``reaches_store`` is True if the
     responding node reaches the store, and ``store_regained_age_ms`` is the time since
     the end of an outage of the store for the whole fleet. ``documents_deferred`` is
-    True if the responder held back documents of the store for lack of bandwidth, or
-    since no datagram holds them, and the receiver needs them in full.
+    True if the responder held back full documents of the store for lack of bandwidth,
+    or any documents because they are too long for a datagram.
     """
 
     configuration_version: int
@@ -156,8 +159,10 @@
 class PlaceAsk:
     """Request a target from a service's placer.
 
-    ``limits`` are those that targets reported to the sender: target, requests per
-    second, and the age (ms) of the request whose response reported it.
+    ``left_ms`` is the time to the request's deadline. ``counted`` is True if another
+    placer may have counted the request before. ``limits`` are those that targets
+    reported to the sender: target, requests per second, and the age (ms) of the request
+    whose response reported it.
     """
 
     service: str
@@ -214,7 +219,7 @@
 @message(18)
 @dataclass(frozen=True, slots=True)
 class CrashNote:
-    """Report requests under which targets crashed, as `packed_record` encodes them."""
+    """Report crash records of requests, as `packed_record` encodes them."""
 
     records: Sequence[Sequence[Any]]
 
@@ -224,7 +229,7 @@
 class PacedNote:
     """Report to other placers that targets with a rate limit got a request each.
 
-    The entries are as in `PlaceAsk`.
+    ``limits`` has the same entries as in `PlaceAsk`.
     """
 
     service: str
@@ -246,8 +251,9 @@
 class RepeatsNote:
     """Report the counted retries of a service to its other placers; hedges count too.
 
-    ``known_ms`` is for how long the sender has known of all placements. Each record
-    holds its origin, its number and its slots, whose times are ages.
+    ``known_ms`` is how long the sender has made or received all placements. Each record
+    holds its origin, its number and its time slices: age of the end (ms), requests and
+    retries.
     """
 
     service: str
@@ -275,7 +281,7 @@
 @message(11)
 @dataclass(frozen=True, slots=True)
 class NotMineAnswer:
-    """Report that this node does not hold the role, or not yet."""
+    """Report that this node is not the customer's quota keeper, or not yet."""
 
 
 @message(12)
@@ -298,7 +304,7 @@
 @message(15)
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check that a node runs; a node that is leaving does not respond."""
+    """Check that a process of a node runs; one that is leaving does not respond."""
 
     incarnation: str
 
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -126,7 +126,7 @@
     async def wait_until_listed(self) -> None:
         """Wait a limited time for the first list of targets after the start."""
         await self._fleet_state.wait_for_first_targets()
-        # Listeners are notified only when the other tables have been read as well.
+        # Listeners may be notified only after the other tables have been read as well.
         self._apply_fleet_state()
 
     async def _repeats_note(self, note: RepeatsNote, sender: Address) -> None:
@@ -213,7 +213,7 @@
 
     async def _process_regularly(self) -> None:
         # Ends grants of senders that are down, ejections and queue waits. All queued
-        # requests share one pass: one for each would cost the square of their number.
+        # requests share one pass; a pass for each would cost the square of their count.
         while True:
             await asyncio.sleep(
                 PROCESS_INTERVAL_S if self._waiters else IDLE_PROCESS_INTERVAL_S
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -221,7 +221,7 @@
         latency_ms: float,
         limit_per_s: float | None,
     ) -> None:
-        """Notify the placer of the outcome of an attempt."""
+        """Notify the placer of the outcome of an attempt, and record it locally."""
         if limit_per_s is not None or outcome is AttemptOutcome.ANSWERED:
             sent_ms = now_ms() - latency_ms
             self._limits.record(
@@ -246,6 +246,6 @@
             limit_per_s,
         )
         # Also notifies a placer that was removed from the view: it keeps placing for a
-        # while, and attempts without a reported end would look like hanging targets.
+        # while, and targets would seem to hang if the ends of attempts were missing.
         to = placement.placer_address
         self.spawn(self._exchange.request(to, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S))
--- a/src/crocusspindle/gateway/platform_reader.py
+++ b/src/crocusspindle/gateway/platform_reader.py
@@ -47,9 +47,9 @@
 `STALE_STATE_MS`."""
 
 POLL_INTERVAL_S: Final = 0.5
-"""Minimum time between calls for a table. Each target writes about every 1.5 s, so its
-feed always has changes, which one call then batches. The reader still learns that a
-target leaves within a quarter of the two seconds allowed."""
+"""Minimum time between calls for a table. Each target writes about every 1.5 s, so the
+feed of targets always has changes, which one call then batches. The reader still
+receives the row of a leaving target within a quarter of the two seconds allowed."""
 
 RETRY_DELAY_S: Final = 0.25
 STORE_LOST_AFTER_MS: Final = 600.0
@@ -143,7 +143,7 @@
 
     @property
     def is_store_lost(self) -> bool:
-        """Return True if this node tries to read and the store does not respond."""
+        """Return True if reads of a table have failed for `STORE_LOST_AFTER_MS`."""
         failing_since_ms = min(self._failing_since_ms.values(), default=math.inf)
         return now_ms() - failing_since_ms > STORE_LOST_AFTER_MS
 
@@ -160,7 +160,7 @@
         if now_ms() > self._requested_until_ms and self._requested.is_set():
             self._requested.clear()
             self._positions.clear()
-            # A node that makes no calls doesn't know whether the store is reachable.
+            # Without calls, earlier failures do not show if the store is reachable now.
             self._failing_since_ms.clear()
             log_state_change(self._log, "rests from reading", calls=self._calls)
         await self._requested.wait()
@@ -202,7 +202,7 @@
         return True
 
     async def read_once(self, reason: ReadReason) -> None:
-        """Read the tables once, if the reader can't send full documents."""
+        """Read the tables once, unless this node follows them already."""
         if self.active:
             return
         self._reset()
@@ -254,8 +254,9 @@
         )
 
     async def _check_outage_scope(self) -> None:
-        # Only this node may have lost the store. Targets that left meanwhile look like
-        # expired entries; kept, they would get work ten seconds after they left.
+        # This node may be the only one that lost the store. Then targets that left
+        # meanwhile look like expired entries; kept, they would get work ten seconds
+        # after they left.
         await self.query_peers()
         if self._targets_are_unconfirmed():
             self._fleet_state.store_regained_at_ms = now_ms()
--- a/src/crocusspindle/gateway/ports.py
+++ b/src/crocusspindle/gateway/ports.py
@@ -40,8 +40,9 @@
 needs the rest to exit by itself on a busy host."""
 
 READY_MARGIN_MS: Final = 500.0
-"""A node reports itself not ready this long before it must refuse keys, so that callers
-have moved to other nodes by then."""
+"""A node reports itself not ready this long before the revocation time has passed since
+the last confirmation of its configuration, so that callers have moved to other nodes
+when it must refuse keys."""
 
 
 class Ports(Service):
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -1,4 +1,4 @@
-"""Spend tokens at customers' quota keepers, and keep the quotas of this node."""
+"""Spend tokens at customers' quota keepers, and serve as the keeper of some quotas."""
 
 import asyncio
 from typing import ClassVar, Final
@@ -37,14 +37,14 @@
 MIN_ATTEMPTS: Final = 2
 
 STARTUP_PERIOD_MS: Final = 1_500.0
-"""Time after its start in which a node waits for keepers that the view doesn't name:
-after the loss of a whole fleet, the view with the new processes takes 0.7 s."""
+"""Time after its start in which a node waits for keepers that the view doesn't name
+yet: after the loss of a whole fleet, the view with the new processes takes 0.7 s."""
 
 NO_KEEPER_RETRY_MS: Final = 600.0
 
 
 class Quota(Service):
-    """Spend customers' tokens at their keepers."""
+    """Spend customers' tokens at their keepers, and serve as a quota keeper."""
 
     name: ClassVar[str] = "quota"
     needs: ClassVar[tuple[str, ...]] = ("exchange", "knowledge", "membership")
@@ -84,7 +84,7 @@
         self._fleet_state.add_listener(self._apply_fleet_state)
 
     def expired_keys(self) -> set[ViewEntryKey]:
-        """Return entries of previous members whose confirmations have expired."""
+        """Return the keys of fenced view entries whose confirmations have expired."""
         return self._keeper.expired_keys(now_ms())
 
     def _apply_fleet_state(self) -> None:
@@ -162,7 +162,7 @@
         """Spend a customer's token at its keeper, or from the local reserve.
 
         Shortly after this node's start, callers wait for a keeper and for its tokens
-        until ``wait_until_ms``.
+        until ``wait_until_ms`` at most.
         """
         if rule.rate_per_s <= 0:
             return Admitted(0.0)
--- a/src/crocusspindle/gateway/reported_limits.py
+++ b/src/crocusspindle/gateway/reported_limits.py
@@ -21,7 +21,7 @@
         self._reports: dict[TargetIdentity, LimitReport] = {}
 
     def record(self, report: LimitReport) -> None:
-        """Record the limit in a response that this node forwarded."""
+        """Record the limit that a target's response reported, or that it had none."""
         previous = self._reports.get(report.target)
         if previous is not None and previous.sent_ms > report.sent_ms:
             return
--- a/src/crocusspindle/gateway/request_context.py
+++ b/src/crocusspindle/gateway/request_context.py
@@ -32,7 +32,7 @@
 
     @property
     def body_bytes(self) -> int:
-        """Return the length of the body, or of the buffered prefix if streamed."""
+        """Return the length of the body, or `BODY_BUFFER_BYTES` if it is streamed."""
         body = self.outgoing.body
         if body is None:
             return 0
--- a/src/crocusspindle/gateway/retry_sharing.py
+++ b/src/crocusspindle/gateway/retry_sharing.py
@@ -81,9 +81,10 @@
         budget.receive(self._own_incarnation, records, note.known_ms, at_ms)
 
     def log_bound(self, service: ServiceId) -> None:
-        """Log the state of a service's retry budget, at most once a second.
+        """Log the state of a service's retry budget.
 
-        Each refusal has its own log line at the node where the request entered.
+        At most one line a second is written for all services together. Each refusal
+        has its own log line at the node where the request entered.
         """
         at_ms = now_ms()
         if at_ms < self._logged_ms + MIN_LOG_INTERVAL_MS:
--- a/src/crocusspindle/gateway/serve.py
+++ b/src/crocusspindle/gateway/serve.py
@@ -9,6 +9,7 @@
 from crocusspindle.gateway.line_log import set_up_lines
 from crocusspindle.platform import dialect, settings_file, table_store
 
+# Importing `table_store` registers its platform.
 __all__ = ["serve", "table_store"]
 
 WITHOUT_ENV: Final = "CROCUSSPINDLE_WITHOUT"
@@ -16,7 +17,7 @@
 
 
 def serve(path: str | None, began_ms: float) -> None:
-    """Serve; raise ``SettingsError`` with all findings of the settings.
+    """Serve until a signal stops it; raise ``SettingsError`` with all findings.
 
     Parameters
     ----------
--- a/src/crocusspindle/gateway/settings.py
+++ b/src/crocusspindle/gateway/settings.py
@@ -24,7 +24,13 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """Hold the guarantees that the deployment requires."""
+    """Hold the guarantees that the deployment requires.
+
+    In each `budget_window_ms`, a service's retries are at most the fraction
+    `budget_ratio` of its requests plus `budget_extra`. In each `quota_window_ms`, a
+    customer gets at most its quota plus the fraction `quota_overshoot` of it plus
+    `quota_slack` requests.
+    """
 
     revocation_ms: float = 5_000.0
     grace_ms: float = 6_000.0
@@ -41,7 +47,7 @@
 
     @property
     def view_fence_ms(self) -> float:
-        """Return how long a node may act on a view after its confirmation began."""
+        """Return how long a node may act on a view after it was last confirmed."""
         return self.revocation_ms * VIEW_FENCE_FRACTION
 
 
--- a/src/crocusspindle/gateway/target_client.py
+++ b/src/crocusspindle/gateway/target_client.py
@@ -32,7 +32,7 @@
     aiohttp.ClientPayloadError,
 )
 CRASH_CHECK_S: Final = 0.1
-"""Timeout of the connection that tells whether a target's process has exited. A running
+"""Timeout of the connection that shows whether a target's process has exited. A running
 target accepts a connection within a few milliseconds."""
 
 SERVER_ERROR: Final = 500
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """Hold a request to a target: the received head, a buffered or streamed body."""
+    """Hold a request to a target: its head, and a buffered or streamed body."""
 
     request_id: str
     method: str
@@ -232,8 +232,8 @@
         return None
 
     def _is_valid_success(self, response: aiohttp.ClientResponse) -> bool:
-        # A success without the target's stamp, or with an encoded body, is taken for
-        # one that the target did not send.
+        # A success without the target's stamp, or with an encoded body, counts as sent
+        # by something other than the target.
         return (
             self._dialect.target_stamp in response.headers
             and "Content-Encoding" not in response.headers
--- a/src/crocusspindle/gateway/view_keeper.py
+++ b/src/crocusspindle/gateway/view_keeper.py
@@ -74,9 +74,9 @@
 
     async def renew(self, pinged: Present) -> None:
         """Write a view of the nodes that are present, given those with recent pings."""
-        age_ms = now_ms() - self._platform_reader.active_since_ms
+        active_ms = now_ms() - self._platform_reader.active_since_ms
         view_state = self._fleet_state.view
-        if age_ms < SETTLE_MS or view_state.age_ms(now_ms()) > STALE_STATE_MS:
+        if active_ms < SETTLE_MS or view_state.age_ms(now_ms()) > STALE_STATE_MS:
             return
         present = {**self._unlisted_nodes(), **pinged}
         view = view_state.content
@@ -88,12 +88,12 @@
                 for host, entry in view.by_host.items()
                 if host not in present
             }
-            if self._has_few_pings(view, present, age_ms):
+            if self._has_few_pings(view, present, active_ms):
                 present = {
                     host: node for host, node in present.items() if host in view.by_host
                 }
             else:
-                silent = await self._probe_silent(silent, age_ms)
+                silent = await self._probe_silent(silent, active_ms)
             present = {**silent, **present}
         if not members_changed(view, present):
             return
@@ -103,8 +103,9 @@
             self._fleet_state.notify()
 
     def _unlisted_nodes(self) -> dict[HostId, NodeAddress]:
-        # Nodes whose rows are newer than the view. Added one by one as they ping, a
-        # starting fleet would need a view for each late node, each sent to all.
+        # Nodes whose rows are newer than the view. If they were added one by one as
+        # they ping, a starting fleet would write a view for each late node, and send
+        # each view to all nodes.
         written = self._platform_reader.view_row_version
         return {
             host: node
@@ -113,31 +114,35 @@
         }
 
     def _is_writer(self, view: View | None, present: Present) -> bool:
-        # Nodes ping members only. If another host ranked first, no view would ever be
-        # written, and customers of ended processes would have no quota keeper.
+        # Nodes ping members only. If a host that is no member ranked first, it would
+        # never write a view, and customers of ended processes would have no quota
+        # keeper.
         named = present.keys() if view is None else view.by_host.keys()
         eligible = [node for host, node in present.items() if host in named]
         ranked = rank_by_capacity(READER_ROLE, eligible or present.values())
         return bool(ranked) and ranked[0] == self._node.host
 
-    def _has_few_pings(self, view: View, present: Present, age_ms: float) -> bool:
+    def _has_few_pings(self, view: View, present: Present, active_ms: float) -> bool:
         """Return True if too few members ping this node for it to change the members.
 
         A node cut off from its peers gets no pings and would remove all members, while
         their reader adds them again: the view would never converge, and customers would
         change keepers each time. The same happens if many nodes that read for
         themselves each add themselves. So a node pinged by at most half of the members
-        waits for another reader's view. Until then it only names new processes of
-        members, since hosts of a restarted fleet return one by one.
+        waits for another reader's view. Meanwhile it only replaces the processes of
+        members by new ones, since hosts of a restarted fleet return one by one.
         """
         if 2 * len(present) > len(view.entries):
             return False
         unchanged_ms = now_ms() - self._changed_at_ms
-        return min(age_ms, unchanged_ms) < REMOVE_MAJORITY_AFTER_MS
+        return min(active_ms, unchanged_ms) < REMOVE_MAJORITY_AFTER_MS
 
-    async def _probe_silent(self, silent: Present, age_ms: float) -> Present:
-        """Return the members that sent no ping but respond to a probe."""
-        if age_ms < REMOVE_AFTER_MS:
+    async def _probe_silent(self, silent: Present, active_ms: float) -> Present:
+        """Return the members that sent no ping but respond to a probe.
+
+        A new reader sends no probes and returns all of them.
+        """
+        if active_ms < REMOVE_AFTER_MS:
             return silent
         # Members may ping another reader for a while. Removed for that, they would
         # hand over their roles needlessly, and again when they are added back.
