--- a/tests/gateway/test_crash_sharing.py
+++ b/tests/gateway/test_crash_sharing.py
@@ -1,4 +1,4 @@
-"""Share what one host knows of a crashing request with the whole fleet."""
+"""Share one host's crash records with the whole fleet."""
 
 import asyncio
 
@@ -46,7 +46,7 @@
     node.crashes.record_crashes(ServiceId("service-0"), node.ranks, watch)
 
 
-def quarantining_hosts(fleet):
+def count_quarantining_hosts(fleet):
     """Return the number of hosts that hold the request in quarantine."""
     return sum(node.crashes.is_held(CONTENT) for node in fleet.nodes.values())
 
@@ -58,7 +58,7 @@
     async def scenario(fleet):
         report_two_crashes(next(iter(fleet.nodes.values())))
         await asyncio.sleep(KNOWN_WITHIN_S)
-        assert quarantining_hosts(fleet) == hosts
+        assert count_quarantining_hosts(fleet) == hosts
 
     run_scenario(scenario, hosts)
 
@@ -73,7 +73,7 @@
             await fleet.kill(name)
         await fleet.start_all()
         await asyncio.sleep(READY_AFTER_S / 2)
-        assert quarantining_hosts(fleet) == len(fleet.nodes)
+        assert count_quarantining_hosts(fleet) == len(fleet.nodes)
 
     run_scenario(scenario)
 
@@ -101,12 +101,14 @@
         await asyncio.sleep(2.0)
         fleet.rejoin(names[0])
         await asyncio.sleep(3.0)
-        assert quarantining_hosts(fleet) == len(fleet.nodes)
+        assert count_quarantining_hosts(fleet) == len(fleet.nodes)
 
     run_scenario(scenario)
 
 
 def test_host_that_was_cut_off_publishes_its_crash_records(run_scenario):
+    """Guards against records that are lost because their host was cut off."""
+
     async def scenario(fleet):
         names = list(fleet.nodes)
         fleet.cut_off(names[0])
@@ -114,6 +116,6 @@
         await asyncio.sleep(2.0)
         fleet.rejoin(names[0])
         await asyncio.sleep(3.0)
-        assert quarantining_hosts(fleet) == len(fleet.nodes)
+        assert count_quarantining_hosts(fleet) == len(fleet.nodes)
 
     run_scenario(scenario)
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -21,8 +21,8 @@
 """Targets that a request may crash before the fleet has to quarantine it."""
 
 DETECTION_S = 3.0
-MAX_RETRIES = 3
-"""Attempts allowed to a request after detection."""
+MAX_ATTEMPTS_AFTER_DETECTION = 3
+"""Attempts that a request may get after detection."""
 
 MIN_SERVED_FRACTION = 0.95
 REPEAT_INTERVAL_S = 0.3
@@ -96,7 +96,7 @@
     calling = asyncio.create_task(callers.keep_calling())
     await repeat_request(fleet, f"/{prefix}/{CRASHING}", method, for_s=10.0)
     calling.cancel()
-    assert attempts_after_detection(fleet) <= MAX_RETRIES
+    assert attempts_after_detection(fleet) <= MAX_ATTEMPTS_AFTER_DETECTION
     assert callers.served_fraction >= MIN_SERVED_FRACTION
 
 
@@ -112,7 +112,7 @@
         await fleet.run(gateway)
     await fleet.until_ready()
     await repeat_request(fleet, path, "GET", for_s=5.0)
-    assert attempts_after_detection(fleet) <= MAX_RETRIES
+    assert attempts_after_detection(fleet) <= MAX_ATTEMPTS_AFTER_DETECTION
 
 
 async def test_an_operator_lists_held_requests_and_frees_one(fleet):
--- a/tests/gateway/test_end_to_end.py
+++ b/tests/gateway/test_end_to_end.py
@@ -129,9 +129,9 @@
 
 
 async def test_a_response_without_a_length_is_forwarded_only_if_complete(fleet):
-    """Targets respond without a length, and one kind is reset before its end.
+    """Targets respond without a length, and some responses are reset before their end.
 
-    Both end with their connection. A caller would take the truncated one as complete.
+    All end with their connection. A caller would take a truncated one as complete.
     """
     for target in fleet.targets:
         target.fault = TargetFault.UNFRAMED
@@ -175,7 +175,8 @@
 async def test_a_key_is_refused_once_its_confirmation_is_too_old(fleet):
     """The store stops responding, and a key might be withdrawn meanwhile.
 
-    It is served for five seconds after the last confirmation, then refused as not run.
+    Requests with the key are served for nearly five seconds after its last
+    confirmation, then refused as not run.
     """
     fleet.store.mode = StoreMode.SILENT
     await asyncio.sleep(2.0)
--- a/tests/gateway/test_fleet_convergence.py
+++ b/tests/gateway/test_fleet_convergence.py
@@ -35,7 +35,7 @@
 MEMBERS_REMOVED_S = 12.0
 """Members that send no pings are removed after ten seconds and a heartbeat or two."""
 
-READERS = 2
+MAX_READERS = 2
 """One reads, and a previous one may not be idle yet."""
 
 CALLS_PER_S = 20.0
@@ -86,7 +86,7 @@
     )
     assert len(views) == 1
     assert fleet.count_listed_processes() == len(fleet.nodes)
-    assert len(fleet.readers()) <= READERS
+    assert len(fleet.readers()) <= MAX_READERS
     await asyncio.sleep(for_s)
     assert fleet.views() == views
     assert fleet.store.calls.total() - calls <= CALLS_PER_S * for_s
@@ -151,7 +151,7 @@
 
 
 def test_configuration_too_large_for_a_datagram_is_read_from_the_store(run_scenario):
-    """Guards against a reader that counts as silent as its response is too large."""
+    """Guards against a reader that counts as silent because of a large response."""
 
     async def scenario(fleet: VirtualFleet) -> None:
         await fleet.start_all()
@@ -283,7 +283,7 @@
         assert len(open_lists) == 1
         addresses = {address for address, _ in fleet.nodes[name].fleet_state.open_nodes}
         assert fleet.nodes[name].address.caller_address in addresses
-        assert len(fleet.readers()) <= READERS
+        assert len(fleet.readers()) <= MAX_READERS
 
     run_scenario([LARGE] * 2 + [SMALL] * 34, scenario)
 
--- a/tests/gateway/test_fleet_state.py
+++ b/tests/gateway/test_fleet_state.py
@@ -111,7 +111,7 @@
 
 
 def test_node_with_another_text_of_the_same_version_gets_the_next_one():
-    """The operator's tool wrote a version twice, with its fields in another order.
+    """The operator's tool wrote a version twice, with different texts.
 
     The reader holds one text and a node the other, so deltas from the reader do not
     apply. The node would keep serving old routes and withdrawn keys.
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -45,9 +45,9 @@
 def test_reader_does_not_push_after_delta_that_did_not_apply():
     """Two readers push to each other, and a delta does not apply at one of them.
 
-    If it pushed again for that, the other would respond in kind at network speed:
-    within ten seconds the bytes between failure domains cost seven times the value of
-    all requests.
+    If it pushed again for that, the other would push back, without end and at network
+    speed: within ten seconds the bytes between failure domains cost seven times the
+    value of all requests.
     """
     reader, other, exchange = make_fleet_state(), make_fleet_state(), FakeExchange()
     node, peer = view_entry(0).node, view_entry(1).node
@@ -97,9 +97,9 @@
 async def test_removed_host_that_returns_is_added_to_the_view(fenced_rank):
     """A host leaves, and before it returns the whole fleet loses power and restarts.
 
-    The view no longer has the host. If it ranks first among the readers, the others
-    must not wait for it to write the view: nodes ping members only, so it would never
-    write, and customers of the previous processes would have no quota keeper.
+    The host is no longer a member of the view. If it ranks first among the readers, the
+    others must not wait for it to write the view: nodes ping members only, so it would
+    never write, and customers of the previous processes would have no quota keeper.
     """
     ranked = order(READER_ROLE, [view_entry(n).node.host for n in range(3)])
     numbers = {view_entry(n).node.host: n for n in range(3)}
--- a/tests/gateway/test_pipelined_requests.py
+++ b/tests/gateway/test_pipelined_requests.py
@@ -60,7 +60,7 @@
 ):
     """A caller sends four GETs at once, each of which takes 0.3 s.
 
-    Run one after the other, the last would miss its deadline before it started.
+    Run one after the other, later requests could miss their deadline before they start.
     """
     for target in fleet.targets:
         target.work_s = SERVICE_TIME_S
--- a/tests/gateway/test_platform_reader.py
+++ b/tests/gateway/test_platform_reader.py
@@ -41,7 +41,7 @@
         self.old_state: tuple[dict[str, bytes], int] | None = None
 
     async def read(self, table):
-        self._fail()
+        self._begin_call()
         rows, version = self.old_state or (self.rows, self.version)
         rows = rows if table is Table.TARGETS else {}
         stored = [StoredRow(key, 1, value) for key, value in rows.items()]
@@ -49,7 +49,7 @@
 
     async def follow(self, table, after, wait_ms):
         await asyncio.sleep(0.02)
-        self._fail()
+        self._begin_call()
         if self.drops_history and table is Table.TARGETS:
             self.drops_history = False
             raise HistoryLostError("gone")
@@ -60,7 +60,7 @@
             self.removed = []
         return Changes(rows, self.version)
 
-    def _fail(self):
+    def _begin_call(self):
         if self.unreachable:
             raise PlatformUnavailableError("away")
         self.version += not self.frozen
@@ -230,7 +230,10 @@
 
 
 async def test_reader_without_the_store_reports_it(reader_of_store):
-    """Nodes that ping it switch to another reader before their state is stale."""
+    """Guards against nodes that ping this reader until their state is stale.
+
+    They switch to another reader once it reports that it has lost the store.
+    """
     store, _ = reader_of_store
     assert not store.platform_reader.is_store_lost
     store.unreachable = True
@@ -242,7 +245,10 @@
 
 
 async def test_idle_node_does_not_report_the_store_as_lost(reader_of_store):
-    """It would skip itself as a reader while others read, and never try again."""
+    """Guards against a node that skips itself as a reader and never tries again.
+
+    Calls that failed before it became idle do not show if the store is reachable now.
+    """
     store, _ = reader_of_store
     store.unreachable = True
     await asyncio.sleep(0.8)
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -71,18 +71,20 @@
 
 
 class KeeperExchange:
-    """Respond for a quota keeper that opens after some requests."""
+    """Respond for a quota keeper that grants tokens only after some requests."""
 
-    def __init__(self, opens_after: int) -> None:
+    def __init__(self, refused_requests: int) -> None:
         self.requests = 0
-        self._opens_after = opens_after
+        self._refused_requests = refused_requests
         self.limit_ms = math.nan
 
     async def request(self, to, message, *_):
         self.requests += 1
         self.limit_ms = message.wait_limit_ms
         return (
-            SpendAnswer(0.0) if self.requests > self._opens_after else NotMineAnswer()
+            SpendAnswer(0.0)
+            if self.requests > self._refused_requests
+            else NotMineAnswer()
         )
 
 
@@ -122,7 +124,7 @@
     The view with the new ones follows within half a second, which is less than half of
     the callers' latency objective.
     """
-    keeper_exchange = KeeperExchange(opens_after=4)
+    keeper_exchange = KeeperExchange(refused_requests=4)
     result = await quota(keeper_exchange, now_ms()).spend(RULE, 0.0, now_ms() + 500.0)
     assert isinstance(result, Admitted)
     assert keeper_exchange.requests == 5
@@ -132,7 +134,7 @@
 
 async def test_established_node_refuses_soon_without_a_quota_keeper():
     """A quota keeper lost power, and its successor has to wait for seconds."""
-    keeper_exchange = KeeperExchange(opens_after=1_000)
+    keeper_exchange = KeeperExchange(refused_requests=1_000)
     began_ms = now_ms()
     old_ms = now_ms() - STARTUP_PERIOD_MS
     result = await quota(keeper_exchange, old_ms).spend(RULE, 0.0, began_ms + 5_000.0)
@@ -149,14 +151,14 @@
     await asyncio.sleep(0.02)
     assert not pending.done()
     fleet_state.update_targets([TARGET], 1, now_ms())
-    place = await asyncio.wait_for(pending, 0.5)
-    assert isinstance(place, Placement) and place.target == TARGET
+    placement = await asyncio.wait_for(pending, 0.5)
+    assert isinstance(placement, Placement) and placement.target == TARGET
 
 
 async def test_wait_for_the_first_list_of_targets_is_limited():
     fleet_state = FleetState(parse_configuration)
     fleet_state.started_ms = now_ms() - FIRST_READ_MS
-    place = await asyncio.wait_for(
+    placement = await asyncio.wait_for(
         placing_alone(fleet_state).place(SERVICE, make_request()), 0.1
     )
-    assert isinstance(place, PlacementRefused) and place.reason == "no-target"
+    assert isinstance(placement, PlacementRefused) and placement.reason == "no-target"
