--- a/src/crocusspindle/core/retry_times.py
+++ b/src/crocusspindle/core/retry_times.py
@@ -6,11 +6,11 @@
 from crocusspindle.ids import CustomerId
 
 _MAX_RETRY_DELAY_MS: Final = 30_000.0
-"""Longest time until a retry. Capacity and demand change before a longer forecast would
-hold."""
+"""Longest time from a refusal to the retry time. Capacity and demand change before a
+longer forecast would hold."""
 
 _MAX_CUSTOMERS: Final = 4_096
-"""Number of customers whose retry time is kept; beyond it, past times are dropped."""
+"""Past retry times are dropped once those of this many customers are kept."""
 
 
 class RetryTimes:
@@ -32,7 +32,10 @@
         wait_ms: float,
         spacing_ms: float,
     ) -> float:
-        """Return a time ``wait_ms`` from now or later, spaced from the previous one."""
+        """Return a time ``wait_ms`` from now or later, spaced from the previous one.
+
+        It is at most 30 s from now: a longer wait or spacing is cut.
+        """
         earliest_ms = now_ms + wait_ms
         # The coordinators of a service refuse the same callers; without jitter these
         # would all retry at the same moments.
--- a/src/crocusspindle/core/target_tracker.py
+++ b/src/crocusspindle/core/target_tracker.py
@@ -80,14 +80,14 @@
 """ln(0.4 / 0.988), the evidence of an answer, in favour of a healthy target."""
 
 EJECT_NATS: Final = 6.0
-"""Ejection threshold: two errors with at most one answer between them. A healthy target
-reaches it about once in 4,000 requests, and its ejection for some seconds fails no
-request."""
+"""Ejection threshold: two errors with at most two answers between them. A healthy
+target reaches it about once in 2,400 requests, and its ejection for some seconds fails
+no request."""
 
 EJECTION_MS: Final = 2_500.0
 """Length of the first ejection; each relapse doubles the next. Gray failures last two
 to twenty seconds. Ending an ejection early can fail a request that must not be retried;
-ending it late costs only capacity that is spare at a third of the load."""
+ending it late costs only capacity, which is spare while a third of it is in use."""
 
 EJECTION_MAX_MS: Final = 10_000.0
 RELAPSE_MS: Final = 6_000.0
@@ -102,17 +102,18 @@
 
 TRIAL_NATS: Final = 2.0
 """Half the evidence of a single error: on trial the first failure ejects again, and so
-does work that lasts longer than 19 in 20 healthy requests."""
+does unanswered work that has run for longer than 19 in 20 healthy requests."""
 
 HEALTHY_AFTER_MS: Final = 2_000.0
 """Time after its last failure from which a target may count as healthy again."""
 
 TRIAL_ANSWERS: Final = 3
-"""Consecutive answers that end a trial. A gray target answers one request in seven, and
-three in a row one time in 300."""
+"""Answers that end a trial. A gray target that answers as often as `ANSWER_NATS`
+assumes gives three in a row one time in sixteen."""
 
 PATH_AVOIDANCE_MS: Final = 4_000.0
-"""How long a sender avoids a target that it could not reach while others could."""
+"""How long a sender avoids a target that it could not reach, or where its request had
+run for suspiciously long when its deadline passed. An answer ends it earlier."""
 
 AGREEMENT_MS: Final = 2_000.0
 """Time within which failures to connect by several senders, with no answer in between,
@@ -120,7 +121,7 @@
 is ejected; the failure of a single sender is attributed to its path."""
 
 SHED_PAUSE_MS: Final = 80.0
-"""Pause after a full target sheds a request: a fraction of its typical latency."""
+"""Pause after a full target sheds a request: less than typical work takes."""
 
 SHED_WEIGHT: Final = 0.2
 """Weight of the newest attempt in the shed fraction: about the last five count."""
@@ -136,8 +137,9 @@
 last answers by a third either way: only a larger ratio makes a target slow."""
 
 LATENCY_DECAY_MS: Final = 3_000.0
-"""A latency not updated for this long decays to the typical one of the service: else a
-cold or slow target would get no work that shows that it has become fast."""
+"""Time without an answer over which a target's expected latency returns to the typical
+one of the service: otherwise a cold or slow target would get no work that shows that it
+has become fast."""
 
 SUSPICIOUS_AGE_NATS: Final = 4.0
 """Suspicion from the ages of running work at which a target gets no new work while
@@ -145,8 +147,9 @@
 
 HUNG_NATS: Final = 9.0
 """Evidence of failures and of the ages of running work, together, that ejects a target
-before its callers' deadlines. Ages alone reach it on one healthy target in 8,000, or
-with two requests older than each of the last two hundred."""
+before its callers' deadlines: a probability of one in 8,000 for a healthy target. The
+age of one request never reaches it alone; two requests that are older than each of the
+last two hundred do."""
 
 
 @dataclass(slots=True)
@@ -174,8 +177,8 @@
 
     `slowness` is the ratio of its latency to the typical one, `age_nats` is -ln of the
     probability that healthy work lasts as long, `unreached_nats` the evidence against a
-    target that one sender cannot reach. Without `may_eject`, suspicion alone ejects no
-    target: so many are ejected that the rest would be short of slots.
+    target that one sender cannot reach. If `may_eject` is False, suspicion alone ejects
+    no target: one more ejection would leave the service below its floor.
     """
 
     outcome: AttemptOutcome
@@ -239,7 +242,7 @@
         return self.age_nats(now_ms) - max(0, len(self.grants) - 1)
 
     def age_nats(self, now_ms: float) -> float:
-        """Return -ln of the probability that healthy work runs for as long as this."""
+        """Return the sum of ``Grant.age_nats`` over the running work."""
         if not self.grants:
             return 0.0
         return sum(
@@ -247,7 +250,9 @@
         )
 
     def expected_slowness(self, now_ms: float) -> float:
-        """Return the expected ratio of its latency to the typical one, decaying to 1.
+        """Return the expected ratio of the target's latency to the typical one.
+
+        It returns to 1 over `LATENCY_DECAY_MS` without an answer.
 
         A ratio within the spread of healthy targets counts as 1: following it would
         send all work to the target that happened to be the fastest last.
@@ -362,7 +367,7 @@
     def eject(self, now_ms: float) -> None:
         """Eject the target for a while, longer after each relapse.
 
-        Work that was running at its ejection ends after it, and is no relapse.
+        A failure during an ejection, of work that was running before, is no relapse.
         """
         if self.ejection_state is EjectionState.EJECTED:
             return
