--- a/src/crocusspindle/core/floor_watch.py
+++ b/src/crocusspindle/core/floor_watch.py
@@ -46,8 +46,8 @@
 again: earlier, most floor requests would go to targets that stay faulty."""
 
 LONG_HEALTHY_MS: Final = 6_000.0
-"""A target without a failure for this long counts as reliably healthy: a failure after
-a passed trial counts as a relapse up to the same time."""
+"""A target without a failure for this long counts as reliably healthy. A failure in the
+same time after a passed trial counts as a relapse."""
 
 BUSY_OUTCOMES: Final = 1.5
 """Outcomes per target and window from which a service keeps its floor even while its
@@ -63,7 +63,7 @@
 
     def __init__(self, floor_share: float) -> None:
         self._floor_share = floor_share
-        self._unserved: deque[tuple[float, bool]] = deque()
+        self._outcomes: deque[tuple[float, bool]] = deque()
         self.floor_at_risk = False
         self._slots_short = False
         self._due: list[TargetTracker] = []
@@ -72,9 +72,9 @@
     def record_outcome(self, outcome: AttemptOutcome, now_ms: float) -> None:
         """Record the outcome of one attempt."""
         unserved = outcome not in (AttemptOutcome.ANSWERED, AttemptOutcome.ABANDONED)
-        self._unserved.append((now_ms, unserved))
-        while self._unserved[0][0] < now_ms - WINDOW_MS:
-            self._unserved.popleft()
+        self._outcomes.append((now_ms, unserved))
+        while self._outcomes[0][0] < now_ms - WINDOW_MS:
+            self._outcomes.popleft()
 
     def may_eject(self, trackers: Collection[TargetTracker]) -> bool:
         """Return True if suspicion may eject one more target.
@@ -116,11 +116,11 @@
                 tracker.begin_trial(now_ms)
 
     def _is_unserved(self, ready: list[TargetTracker], now_ms: float) -> bool:
-        while self._unserved and self._unserved[0][0] < now_ms - WINDOW_MS:
-            self._unserved.popleft()
-        lost = sum(unserved for _, unserved in self._unserved)
+        while self._outcomes and self._outcomes[0][0] < now_ms - WINDOW_MS:
+            self._outcomes.popleft()
+        lost = sum(unserved for _, unserved in self._outcomes)
         lost += _count_hung(ready, now_ms)
-        return lost > UNSERVED_SHARE * max(MIN_OUTCOMES, len(self._unserved))
+        return lost > UNSERVED_SHARE * max(MIN_OUTCOMES, len(self._outcomes))
 
     def invalidate_due(self) -> None:
         """Search for due targets again at the next request: the list has changed."""
@@ -154,7 +154,7 @@
         these targets without work, and the service with fewer targets in use than its
         floor.
         """
-        if not self.floor_at_risk and len(self._unserved) < BUSY_OUTCOMES * len(
+        if not self.floor_at_risk and len(self._outcomes) < BUSY_OUTCOMES * len(
             trackers
         ):
             # With so little work, every request would go to the next due target and
--- a/src/crocusspindle/core/gray_onset_rate.py
+++ b/src/crocusspindle/core/gray_onset_rate.py
@@ -5,8 +5,8 @@
 
 DECAY_MS: Final = 60_000.0
 """Time constant: long enough for several gray failures of each target of a small
-service, and short enough to notice an hour of faults. The estimates serve as rates,
-where a factor of two matters little."""
+service, and short enough to notice an hour of faults. A factor of two in the
+estimates matters little."""
 
 PRIOR_ONSET_INTERVAL_MS: Final = 100_000.0
 """Prior interval between a target's onsets of gray failure: a service begins with one
@@ -26,7 +26,7 @@
         self._updated_ms = now_ms
 
     def record_time(self, healthy: int, unhealthy: int, now_ms: float) -> None:
-        """Add the time since the last call for targets that are healthy or not."""
+        """Add the time since the last call for each healthy or unhealthy target."""
         passed_ms = now_ms - self._updated_ms
         if passed_ms <= 0.0:
             return
@@ -52,8 +52,9 @@
     def probability(self, success_age_ms: float) -> float:
         """Return the probability that a target is gray, by the age of its last success.
 
-        It grows with the onset rate at first, and converges to the share of time for
-        which targets are gray at all: an old success is no more evidence than none.
+        It first grows with that age at the onset rate, and converges to the share of
+        time for which targets are gray at all: an old success is no more evidence than
+        none.
         """
         gray_share = self._gray_ms / (self._gray_ms + self._healthy_ms)
         onsets = max(0.0, success_age_ms) * self._onsets / self._healthy_ms
--- a/src/crocusspindle/core/hedge_time.py
+++ b/src/crocusspindle/core/hedge_time.py
@@ -21,8 +21,8 @@
 second attempt."""
 
 UNKNOWN_AIM_FRACTION: Final = 0.5
-"""Fraction of the latency objective after which to hedge while nothing is known of a
-route."""
+"""Fraction of the latency objective after which to hedge while there are too few
+latencies to compare with."""
 
 
 def hedge_after_ms(sample: LatencySample, aim_ms: float) -> float:
--- a/src/crocusspindle/core/latency_sample.py
+++ b/src/crocusspindle/core/latency_sample.py
@@ -51,7 +51,8 @@
     def suspicion_nats(self, age_ms: float, min_age_ms: float = 0.0) -> float:
         """Return -ln of the probability that typical work lasts longer than an age.
 
-        Up to `min_age_ms` it is 0: short work may have waited for a slot.
+        It is 0 up to `min_age_ms`, since short work may have waited for a slot, and
+        while there are too few samples.
 
         Over typical work it is exponentially distributed with mean 1, whatever the work
         is, so the values of several requests at one target may be added.
--- a/src/crocusspindle/core/route_latencies.py
+++ b/src/crocusspindle/core/route_latencies.py
@@ -37,7 +37,7 @@
         """Return the sample with which to compare work of a route.
 
         That is the route's own once it has enough values. Until then all work of the
-        service is the best estimate, and at first the latency objective.
+        service is the best estimate, and at first a fraction of the latency objective.
         """
         route_sample = self._route_sample(route, aim_ms)
         if self._per_route and route_sample.has_enough_samples:
--- a/src/crocusspindle/core/service_placer.py
+++ b/src/crocusspindle/core/service_placer.py
@@ -51,8 +51,8 @@
 from crocusspindle.ids import NO_CONTENT, ContentDigest, GrantId, HostId
 
 REFRESH_MS: Final = 5.0
-"""Minimum interval between checks for what becomes due by time alone: the end of an
-ejection, the expiry of a grant, a hang."""
+"""Minimum interval at which requests and outcomes cause a check for what becomes due by
+time alone: the end of an ejection, the expiry of a grant, a hang."""
 
 
 class ServicePlacer:
@@ -129,7 +129,10 @@
             tracker.limit.record_sent(now_ms)
 
     def recent_limits(self) -> list[LimitReport]:
-        """Return the limits of limited targets that got work since the last call."""
+        """Return one report for each recent attempt at a rate-limited target.
+
+        Covers the attempts since the last call; other placers count them, too.
+        """
         targets, self._limited_targets = self._limited_targets, []
         limits = {
             target: self._trackers[target].limit
@@ -333,18 +336,18 @@
         tracker = self._trackers.get(target)
         if tracker is None:
             return
-        grant_held = tracker.grants.pop(grant, None)
-        content = content if grant_held is None else grant_held.content
+        ended_grant = tracker.grants.pop(grant, None)
+        content = content if ended_grant is None else ended_grant.content
         running = [other.content for other in tracker.grants.values()]
         self.crash_watch.ended(target, content, running, outcome, now_ms)
         self._floor.record_outcome(outcome, now_ms)
         previous_state = tracker.ejection_state
         tracker.record_result(
-            self._attempt_result(grant_held, outcome, sender, latency_ms, now_ms)
+            self._attempt_result(ended_grant, outcome, sender, latency_ms, now_ms)
         )
         self._unreached.record(outcome is AttemptOutcome.UNREACHED)
-        if grant_held is not None and outcome is AttemptOutcome.ANSWERED:
-            self._latencies.add(grant_held.route, grant_held.aim_ms, latency_ms)
+        if ended_grant is not None and outcome is AttemptOutcome.ANSWERED:
+            self._latencies.add(ended_grant.route, ended_grant.aim_ms, latency_ms)
             self._queue.record_answer(latency_ms)
         if tracker.ejection_state is not previous_state:
             self._onset_rate.record_onset(previous_state is EjectionState.HEALTHY)
--- a/src/crocusspindle/core/target_choice.py
+++ b/src/crocusspindle/core/target_choice.py
@@ -137,7 +137,7 @@
     def _due_target(
         self, request: PlacementRequest, now_ms: float
     ) -> TargetTracker | None:
-        """Return a due target that the request should go to for the floor, if any."""
+        """Return a due target that should get the request to keep the floor, if any."""
         if request.retry or not self._policies.has(Policy.FLOOR_TRIALS):
             return None
         due = [
@@ -234,8 +234,8 @@
             ]
             targets = due or targets
 
-        # Of targets that cost the same, an idempotent first attempt tries that with the
-        # oldest last success: a success renews it, and a failure can be retried.
+        # Of targets that cost the same, an idempotent first attempt tries the one with
+        # the oldest last success: a success renews it, and a failure can be retried.
         def rank(tracker: TargetTracker) -> tuple[float, float]:
             since_ms = tracker.last_success_ms if explores else tracker.last_used_ms
             return (cost_ms(tracker, context, self._cost_terms), since_ms)
--- a/src/crocusspindle/core/target_costs.py
+++ b/src/crocusspindle/core/target_costs.py
@@ -1,7 +1,7 @@
 """Estimate the cost of sending a request to each target that could accept it.
 
-Each term receives the cost so far, in milliseconds, and returns it with its own effect.
-Terms apply in the order of their registration.
+Each term receives the cost so far, in milliseconds, and returns it with its own effect
+applied. Terms apply in the order of their registration.
 """
 
 import math
--- a/src/crocusspindle/core/wait_queue.py
+++ b/src/crocusspindle/core/wait_queue.py
@@ -1,4 +1,4 @@
-"""Keep the queued requests of one service, in the order in which they are served."""
+"""Order the queued requests of one service for its free slots."""
 
 from collections.abc import Iterator
 
@@ -6,7 +6,7 @@
 
 
 class WaitQueue:
-    """Keep requests in order of arrival and yield them in order of service."""
+    """Keep requests in order of arrival; yield them by lateness, then by priority."""
 
     def __init__(self) -> None:
         self._entries: list[QueuedRequest] = []
@@ -16,7 +16,7 @@
         return len(self._entries)
 
     def add(self, entry: QueuedRequest) -> None:
-        """Append a request behind all others of its priority."""
+        """Append a request."""
         self._entries.append(entry)
 
     def remove(self, entry: QueuedRequest) -> None:
