--- a/src/crocusspindle/core/assignment_history.py
+++ b/src/crocusspindle/core/assignment_history.py
@@ -14,7 +14,9 @@
 class AssignmentRank:
     """Hold which members may have had a node's role before it.
 
-    ``removed_members`` are previous members that may act on an older view;
+    The node is ``first`` if all members ranked before it are fenced.
+    ``removed_members`` are fenced members that may act on an older view, and, unless
+    the node is ``first``, all members ranked before it;
     ``previous_holder`` is the member that had the role until this node joined.
     """
 
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeenView:
-    """Hold a view and when this node learnt of it."""
+    """Hold a view and when this node received it."""
 
     view: View
     seen_ms: float
@@ -35,7 +37,7 @@
 class Tenure:
     """Hold the consecutive views in which a node was first for a role.
 
-    ``ended_ms`` is when it learnt of the view that ended the tenure, None before.
+    ``ended_ms`` is when it received the view that ended the tenure, None before.
     ``continues_own_tenure`` states that the previous process of its host had the role
     until the first of these views, and no other member can have had it in between.
     """
@@ -46,7 +48,7 @@
 
     @property
     def since_ms(self) -> float:
-        """Return when the node learnt that it has the role."""
+        """Return when the node received the first of the views."""
         return self.views[0].seen_ms
 
 
--- a/src/crocusspindle/core/backoff.py
+++ b/src/crocusspindle/core/backoff.py
@@ -4,14 +4,15 @@
 from typing import Final
 
 JITTER_FRACTION: Final = 0.5
-"""Random fraction of a wait: nodes that failed together must not retry together."""
+"""Fraction by which a wait, also the longest one, is randomly shortened or lengthened:
+nodes that failed together must not retry together."""
 
 
 class Backoff:
     """Compute the waits between the tries of one call.
 
     Made for a whole fleet whose calls exceed what the store accepts: retried at a fixed
-    interval, they would exceed it for as long as the fleet is large.
+    interval, they would go on exceeding it.
     """
 
     def __init__(self, first_ms: float, max_ms: float, rng: random.Random) -> None:
--- a/src/crocusspindle/core/crash_record.py
+++ b/src/crocusspindle/core/crash_record.py
@@ -55,7 +55,7 @@
         return replace(self, crashes=crashes, last_ms=last_ms)
 
     def merged(self, other: "CrashRecord") -> "CrashRecord":
-        """Return the union of both records."""
+        """Return the union of both records, or the one of the higher generation."""
         if self.generation != other.generation:
             return max(self, other, key=lambda record: record.generation)
         return CrashRecord(
@@ -72,7 +72,7 @@
     distinct: list[Crash] = []
     for crash in sorted(crashes, key=lambda crash: (crash.target, crash.at_ms)):
         if distinct and distinct[-1].is_same(crash):
-            # A report with other requests there shows that this one did not run alone.
+            # A report that lists other requests shows that this one did not run alone.
             alone = distinct[-1].alone and crash.alone
             distinct[-1] = replace(distinct[-1], alone=alone)
         else:
--- a/src/crocusspindle/core/crash_table.py
+++ b/src/crocusspindle/core/crash_table.py
@@ -1,9 +1,10 @@
 """Quarantine the requests that crash the targets that run them.
 
 One request may crash every target that runs it, and its caller retries it at any host.
-Each crash also breaks the other requests at the target, so that after one crash many
-innocent requests look alike. Each of them runs alone the next time: a response clears
-it, a second crash while it runs alone puts it into quarantine (the request is held).
+Each crash also breaks the other requests at the target, and one crash does not show
+which request caused it. Each of these requests runs alone the next time: a response
+clears it, a second crash while it runs alone puts it into quarantine (the request is
+held).
 """
 
 from collections.abc import Iterable
@@ -63,7 +64,7 @@
         return self._records.get(content)
 
     def shared(self) -> list[CrashRecord]:
-        """Return the records that every host needs, in a fixed order."""
+        """Return the `SHARED_MAX` newest records to replicate, sorted by content."""
         shared = [record for record in self._records.values() if record.is_shared]
         shared.sort(key=lambda record: (-record.last_ms, record.content))
         return sorted(shared[:SHARED_MAX], key=lambda record: record.content)
@@ -147,7 +148,7 @@
         return FIRST_HOLD_MS * HOLD_FACTOR**record.trials
 
     def _unexplained(self, content: ContentDigest) -> frozenset[Crash]:
-        """Return a request's crashes that no other held request explains."""
+        """Return the crashes that no held request with more crashes explains."""
         record = self._records.get(content)
         if record is None or not record.crashes:
             return frozenset()
