--- a/tests/core/test_any_service.py
+++ b/tests/core/test_any_service.py
@@ -34,7 +34,7 @@
     load = rng.uniform(0.2, 0.6)
     rate_per_s = load * targets * slots / work_ms * 1e3
     length_ms = REQUESTS / rate_per_s * 1e3
-    safe = rng.uniform(0.1, 0.9)
+    idempotent_share = rng.uniform(0.1, 0.9)
     aim_ms = work_ms * rng.uniform(3.0, 5.0)
     route_loads = [
         RouteLoad(
@@ -47,7 +47,10 @@
             4.0 * aim_ms,
             error_fraction=rng.uniform(0.0, 0.1),
         )
-        for name, idempotent, share in (("safe", True, safe), ("once", False, 1 - safe))
+        for name, idempotent, share in (
+            ("safe", True, idempotent_share),
+            ("once", False, 1 - idempotent_share),
+        )
     ]
     shortest_ms = 500.0 * 60.0 ** rng.random()
     gray = Gray(
@@ -81,8 +84,9 @@
     scenario = random_scenario(seed)
     tallies = PlacingTrial(scenario, seed).run()
     oracle = PlacingTrial(scenario, seed, oracle=True).run()
-    # A gray failure costs a request for each slot of its target, and again when the
-    # ejection ends: three for each slot, and at most a tenth of all requests.
+    # A gray failure costs a request for each slot of its target, and again when an
+    # ejection ends. Three for each slot are allowed, and at most a tenth of all
+    # requests.
     max_extra_failures = min(
         0.1 * REQUESTS, 3.0 * scenario.slots * gray_windows(scenario)
     )
--- a/tests/core/test_floor_under_faults.py
+++ b/tests/core/test_floor_under_faults.py
@@ -209,8 +209,8 @@
 
     def _draw_outcome(self, target: int, now_ms: float) -> AttemptOutcome:
         for fault in self._faults:
-            runs = fault.from_ms <= now_ms < fault.to_ms
-            if target in fault.targets and runs:
+            is_active = fault.from_ms <= now_ms < fault.to_ms
+            if target in fault.targets and is_active:
                 lost = self._rng.random() < fault.share
                 return fault.outcome if lost else AttemptOutcome.ANSWERED
         return AttemptOutcome.ANSWERED
@@ -226,9 +226,9 @@
     def windows_below_floor(self) -> list[float]:
         """Return the starts of windows in which too few healthy targets got work."""
         begins = [500.0 * number for number in range(int(RUN_MS / 500.0) - 4)]
-        return [begin for begin in begins if self._is_below(begin)]
+        return [begin for begin in begins if self._is_below_floor(begin)]
 
-    def _is_below(self, begin_ms: float) -> bool:
+    def _is_below_floor(self, begin_ms: float) -> bool:
         end_ms = begin_ms + WINDOW_MS
         served = [ok for at, ok in self.results if begin_ms <= at < end_ms]
         unserved = 1.0 - sum(served) / len(served)
--- a/tests/core/test_placing_load.py
+++ b/tests/core/test_placing_load.py
@@ -188,7 +188,8 @@
 def test_gray_targets_cost_little_more_than_knowing_them_would(ending):
     """Targets turn gray for some seconds and break, fail or hang most of their work.
 
-    The first request that meets one cannot know. After it, all entries do.
+    The first request at a gray target cannot be saved. Its outcome counts for all
+    entries, so that few others need to be lost.
     """
     gray = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, ending)
     scenario = replace(BOOKINGS, gray=gray)
--- a/tests/core/test_request_isolation.py
+++ b/tests/core/test_request_isolation.py
@@ -41,7 +41,7 @@
     return placer
 
 
-def request(content=OTHER, **more):
+def request(content=OTHER, **overrides):
     fields = {
         "sender": SENDER,
         "domain": DomainId("a"),
@@ -52,7 +52,7 @@
         "deadline_ms": 2_000.0,
         "content": content,
     }
-    return PlacementRequest(**{**fields, **more})
+    return PlacementRequest(**{**fields, **overrides})
 
 
 def record_crash_of(table, *targets):
@@ -72,8 +72,8 @@
     busy = placer.request_placement(request(), 0.0)
     isolated = placer.request_placement(request(SUSPECT), 0.0)
     assert isolated.target != busy.target
-    more = [placer.request_placement(request(), 0.0) for _ in range(3)]
-    assert {placed.target for placed in more} == {busy.target}
+    others = [placer.request_placement(request(), 0.0) for _ in range(3)]
+    assert {placed.target for placed in others} == {busy.target}
     end_attempt(placer, isolated)
     assert placer.request_placement(request(), 100.0).target == isolated.target
 
--- a/tests/core/test_service_placer.py
+++ b/tests/core/test_service_placer.py
@@ -80,9 +80,9 @@
     placer = make_placer()
     placed = [placer.request_placement(request(), 0.0) for _ in range(16)]
     counts: dict[str, int] = {}
-    for place in placed:
-        assert isinstance(place, PlacementGranted)
-        counts[place.target.identity] = counts.get(place.target.identity, 0) + 1
+    for placement in placed:
+        assert isinstance(placement, PlacementGranted)
+        counts[placement.target.identity] = counts.get(placement.target.identity, 0) + 1
     assert set(counts.values()) == {2}
 
 
@@ -94,13 +94,13 @@
     placer = make_placer(count=1, slots=1)
     first = placer.request_placement(request(), 0.0)
     assert isinstance(first, PlacementGranted)
-    slow = placer.request_placement(request(priority=3), 0.0)
+    low_priority = placer.request_placement(request(priority=3), 0.0)
     urgent = placer.request_placement(request(priority=0), 0.0)
-    assert isinstance(slow, QueuedRequest) and isinstance(urgent, QueuedRequest)
+    assert isinstance(low_priority, QueuedRequest) and isinstance(urgent, QueuedRequest)
     late = placer.request_placement(request(priority=3), 0.0)
     assert isinstance(late, PlacementRefused) and late.reason == "full"
     end_attempt(placer, first, AttemptOutcome.ANSWERED, WORK_MS)
-    assert isinstance(urgent.settled, PlacementGranted) and slow.settled is None
+    assert isinstance(urgent.settled, PlacementGranted) and low_priority.settled is None
 
 
 def test_one_reset_ejects_a_target_for_all_entries():
@@ -114,16 +114,18 @@
     (change,) = placer.changes()
     assert change.standing is EjectionState.EJECTED
     later = [placer.request_placement(request(100.0), 100.0) for _ in range(14)]
-    assert first.target.identity not in {place.target.identity for place in later}
+    assert first.target.identity not in {
+        placement.target.identity for placement in later
+    }
 
 
 def test_occasional_errors_eject_no_target():
     placer = make_placer()
     for step in range(400):
         now_ms = step * 50.0
-        place = placer.request_placement(request(now_ms), now_ms)
+        placement = placer.request_placement(request(now_ms), now_ms)
         outcome = AttemptOutcome.ERROR if step % 83 == 0 else AttemptOutcome.ANSWERED
-        end_attempt(placer, place, outcome, now_ms + 40.0)
+        end_attempt(placer, placement, outcome, now_ms + 40.0)
     assert not placer.changes()
 
 
@@ -157,11 +159,11 @@
         placer.request_placement(request(2_600.0), 2_600.0), PlacementRefused
     )
     end_attempt(placer, first, AttemptOutcome.ANSWERED, 2_800.0)
-    more = [
+    decisions = [
         placer.request_placement(request(2_800.0, idempotent=True), 2_800.0)
         for _ in range(3)
     ]
-    assert [isinstance(place, PlacementGranted) for place in more] == [
+    assert [isinstance(placement, PlacementGranted) for placement in decisions] == [
         True,
         True,
         False,
@@ -171,9 +173,9 @@
 def test_a_relapse_is_ejected_for_longer():
     placer = make_placer(count=1)
     for ejected_ms, now_ms in ((2_500.0, 0.0), (5_000.0, 2_600.0), (10_000.0, 7_700.0)):
-        place = placer.request_placement(request(now_ms, idempotent=True), now_ms)
-        end_attempt(placer, place, AttemptOutcome.BROKEN, now_ms)
-        tracker = placer.trackers()[place.target.identity]
+        placement = placer.request_placement(request(now_ms, idempotent=True), now_ms)
+        end_attempt(placer, placement, AttemptOutcome.BROKEN, now_ms)
+        tracker = placer.trackers()[placement.target.identity]
         assert tracker.ejected_until_ms == now_ms + ejected_ms
 
 
@@ -183,21 +185,21 @@
     To eject it for all entries would waste a healthy target.
     """
     placer = make_placer()
-    place = placer.request_placement(request(), 0.0)
-    end_attempt(placer, place, AttemptOutcome.UNREACHED, 300.0)
+    placement = placer.request_placement(request(), 0.0)
+    end_attempt(placer, placement, AttemptOutcome.UNREACHED, 300.0)
     assert not placer.changes()
     own = [placer.request_placement(request(400.0), 400.0) for _ in range(14)]
-    assert place.target.identity not in {p.target.identity for p in own}
+    assert placement.target.identity not in {p.target.identity for p in own}
     other = placer.request_placement(request(400.0, sender=HostId("other")), 400.0)
-    assert other.target.identity == place.target.identity
+    assert other.target.identity == placement.target.identity
 
 
 def test_two_senders_that_reach_nothing_are_attributed_to_the_target():
     placer = make_placer()
-    place = placer.request_placement(request(), 0.0)
-    end_attempt(placer, place, AttemptOutcome.UNREACHED, 300.0)
-    again = place
-    while again.target.identity != place.target.identity or again is place:
+    placement = placer.request_placement(request(), 0.0)
+    end_attempt(placer, placement, AttemptOutcome.UNREACHED, 300.0)
+    again = placement
+    while again.target.identity != placement.target.identity or again is placement:
         again = placer.request_placement(request(400.0, sender=HostId("other")), 400.0)
     end_attempt(placer, again, AttemptOutcome.UNREACHED, 700.0, sender=HostId("other"))
     assert [change.standing for change in placer.changes()] == [EjectionState.EJECTED]
@@ -207,10 +209,14 @@
     placer = make_placer(count)
     rng = random.Random(3)
     for step in range(200):
-        place = placer.request_placement(request(), 0.0)
+        placement = placer.request_placement(request(), 0.0)
         latency_ms = rng.lognormvariate(5.2, 0.4)
         end_attempt(
-            placer, place, AttemptOutcome.ANSWERED, step * 1.0, latency_ms=latency_ms
+            placer,
+            placement,
+            AttemptOutcome.ANSWERED,
+            step * 1.0,
+            latency_ms=latency_ms,
         )
     return placer
 
@@ -221,9 +227,9 @@
     late = placer.request_placement(request(1_000.0), 1_000.0)
     for step in range(60):
         now_ms = 1_700.0 + step * 10
-        place = placer.request_placement(request(now_ms), now_ms)
-        assert place.target.identity != late.target.identity
-        end_attempt(placer, place, AttemptOutcome.ANSWERED, now_ms + 5.0)
+        placement = placer.request_placement(request(now_ms), now_ms)
+        assert placement.target.identity != late.target.identity
+        end_attempt(placer, placement, AttemptOutcome.ANSWERED, now_ms + 5.0)
 
 
 def test_a_hung_target_is_ejected_before_its_callers_deadlines():
@@ -248,8 +254,8 @@
     """
     placer = make_placer(count=10)
     for n in range(5):
-        place = placer.request_placement(request(), 0.0)
-        end_attempt(placer, place, AttemptOutcome.BROKEN, n * 10.0)
+        placement = placer.request_placement(request(), 0.0)
+        end_attempt(placer, placement, AttemptOutcome.BROKEN, n * 10.0)
     placer.process_due(2_200.0)
     states = [tracker.ejection_state for tracker in placer.trackers().values()]
     assert states.count(EjectionState.EJECTED) == 5
@@ -266,9 +272,9 @@
     refused = 0
     for step in range(1_000):
         now_ms = step * 9.0
-        place = placer.request_placement(request(now_ms), now_ms)
-        if isinstance(place, PlacementGranted):
-            end_attempt(placer, place, AttemptOutcome.ABANDONED, now_ms)
+        placement = placer.request_placement(request(now_ms), now_ms)
+        if isinstance(placement, PlacementGranted):
+            end_attempt(placer, placement, AttemptOutcome.ABANDONED, now_ms)
         again = placer.request_placement(request(now_ms, retry=True), now_ms)
         if isinstance(again, PlacementGranted):
             end_attempt(placer, again, AttemptOutcome.ABANDONED, now_ms)
@@ -299,14 +305,14 @@
         phase = {f"t{n}": rng.uniform(0, 9_000) for n in range(5)}
         for step in range(3_000):
             now_ms = step * 33.0
-            place = placer.request_placement(request(now_ms), now_ms)
-            name = place.target.identity
+            placement = placer.request_placement(request(now_ms), now_ms)
+            name = placement.target.identity
             gray = name in phase and (now_ms + phase[name]) % 9_000 < 2_000
             lost[pooled] += gray
             outcome = (
                 AttemptOutcome.BROKEN if gray and pooled else AttemptOutcome.ANSWERED
             )
-            end_attempt(placer, place, outcome, now_ms + 1.0)
+            end_attempt(placer, placement, outcome, now_ms + 1.0)
     assert lost[False] > 150
     assert lost[True] * 3 < lost[False]
 
@@ -322,10 +328,10 @@
     end_attempt(placer, hung, AttemptOutcome.ABANDONED, 1_700.0, latency_ms=700.0)
     for step in range(4):
         now_ms = 1_800.0 + step * 10
-        place = placer.request_placement(request(now_ms), now_ms)
-        assert place.target.identity != hung.target.identity
+        placement = placer.request_placement(request(now_ms), now_ms)
+        assert placement.target.identity != hung.target.identity
         end_attempt(
-            placer, place, AttemptOutcome.ANSWERED, now_ms + 5.0, latency_ms=150.0
+            placer, placement, AttemptOutcome.ANSWERED, now_ms + 5.0, latency_ms=150.0
         )
 
 
@@ -337,9 +343,9 @@
     placer = placer_with_samples()
     for step in range(50):
         now_ms = 1_000.0 + step * 100
-        place = placer.request_placement(request(now_ms), now_ms)
+        placement = placer.request_placement(request(now_ms), now_ms)
         end_attempt(
-            placer, place, AttemptOutcome.ABANDONED, now_ms + 90.0, latency_ms=90.0
+            placer, placement, AttemptOutcome.ABANDONED, now_ms + 90.0, latency_ms=90.0
         )
     assert not placer.changes()
 
@@ -369,15 +375,15 @@
     """
     placer = placer_with_samples(count=8)
     for step in range(6):
-        place = placer.request_placement(request(1_000.0), 1_000.0)
-        end_attempt(placer, place, AttemptOutcome.ERROR, 1_001.0 + step)
+        placement = placer.request_placement(request(1_000.0), 1_000.0)
+        end_attempt(placer, placement, AttemptOutcome.ERROR, 1_001.0 + step)
     used = set()
     for step in range(20):
         now_ms = 2_500.0 + step * 20
-        place = placer.request_placement(request(now_ms, idempotent=True), now_ms)
-        used.add(place.target.identity)
+        placement = placer.request_placement(request(now_ms, idempotent=True), now_ms)
+        used.add(placement.target.identity)
         end_attempt(
-            placer, place, AttemptOutcome.ANSWERED, now_ms + 10.0, latency_ms=150.0
+            placer, placement, AttemptOutcome.ANSWERED, now_ms + 10.0, latency_ms=150.0
         )
     assert len(used) >= 6
 
@@ -390,9 +396,9 @@
     """
     placer = make_placer(count=10)
     for step in range(100):
-        place = placer.request_placement(request(step * 10.0), step * 10.0)
-        if isinstance(place, PlacementGranted):
-            end_attempt(placer, place, AttemptOutcome.ERROR, step * 10.0 + 5.0)
+        placement = placer.request_placement(request(step * 10.0), step * 10.0)
+        if isinstance(placement, PlacementGranted):
+            end_attempt(placer, placement, AttemptOutcome.ERROR, step * 10.0 + 5.0)
     states = [tracker.ejection_state for tracker in placer.trackers().values()]
     assert states.count(EjectionState.EJECTED) <= 3
 
@@ -427,8 +433,8 @@
     """
     placer = make_placer(count=1, slots=6)
     running = [placer.request_placement(request(), 0.0) for _ in range(6)]
-    for place in running:
-        end_attempt(placer, place, AttemptOutcome.BROKEN, 10.0)
+    for placement in running:
+        end_attempt(placer, placement, AttemptOutcome.BROKEN, 10.0)
     tracker = placer.trackers()[running[0].target.identity]
     assert tracker.ejection_ms == tracker.ejected_until_ms - 10.0 == 2_500.0
 
