--- a/src/crocusspindle/core/floor_watch.py
+++ b/src/crocusspindle/core/floor_watch.py
@@ -106,7 +106,7 @@
         """
         ready, ejected = _ready_and_ejected(trackers)
         self._slots_short = _are_slots_short(ready, queued)
-        self.floor_at_risk = self._slots_short or self._is_unserved(ready, now_ms)
+        self.floor_at_risk = self._slots_short or self._are_many_unserved(ready, now_ms)
         if not self.floor_at_risk:
             return
         excess = len(ejected) - math.floor(len(ready) * (1.0 - self._floor_share))
@@ -115,7 +115,7 @@
             if now_ms - tracker.last_failed_ms >= HEALTHY_AFTER_MS:
                 tracker.begin_trial(now_ms)
 
-    def _is_unserved(self, ready: list[TargetTracker], now_ms: float) -> bool:
+    def _are_many_unserved(self, ready: list[TargetTracker], now_ms: float) -> bool:
         while self._outcomes and self._outcomes[0][0] < now_ms - WINDOW_MS:
             self._outcomes.popleft()
         lost = sum(unserved for _, unserved in self._outcomes)
--- a/src/crocusspindle/core/target_tracker.py
+++ b/src/crocusspindle/core/target_tracker.py
@@ -15,7 +15,7 @@
 
     The values are the names used in logs, metrics and refusals.
 
-    - ``ANSWERED``: a response that is no server error; a success must be valid.
+    - ``ANSWERED``: a response that is no server error and, if a success, is valid.
     - ``ERROR``: a server error, or a status that says "not run" without the target's
       header that guarantees it.
     - ``BROKEN``: the connection broke, or the response was invalid.
