--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -55,7 +55,7 @@
 )
 from crocusspindle.settings_schema import Principal, TimingSettings
 
-ISOLATED_MESSAGE: Final = "this node may be cut off; ask another one"
+ISOLATED_MESSAGE: Final = "this node may be isolated; use another node"
 RETRY_MS: Final = 1_000.0
 MAX_HEARTBEATS_WAITED: Final = 6
 SUBMISSION_TIMEOUT_MS: Final = 8_000.0
@@ -90,7 +90,7 @@
         self._audit = AuditTrail(platform, timings.platform_timeout_ms)
 
     async def validate(self, document: bytes) -> TicketSummary:
-        """Return what a ticket would change in the state before its number."""
+        """Check a ticket against the state before it; return what it would change."""
         ticket = parse_ticket(document, "ticket")
         await self._follower.catch_up()
         self._check_state(ticket)
@@ -258,8 +258,8 @@
     def _ineligible_members(self) -> set[MemberId]:
         """Return members that a ticket need not wait for to be in force.
 
-        A member that has not echoed for longer than a timestamp stays fresh certainly
-        refuses new work by now, or has read the ticket log since.
+        A member without an echo for longer than a timestamp stays fresh refuses new
+        work by now, unless it has read the ticket log since.
         """
         limit_ms = self._timings.freshness_ms * 1.25
         return {
--- a/src/crocusspindle/services/control.py
+++ b/src/crocusspindle/services/control.py
@@ -40,7 +40,7 @@
 MAX_KEPT_TICKETS: Final = 1_000
 """Applied tickets kept for lagging peers: several hours of an ordinary day. A peer that
 lags further starts from a snapshot."""
-# Reported while no host list was read: its age is infinite.
+# Reported before the first host list is read, when its age is infinite.
 MAX_TARGETS_AGE_MS: Final = 1e12
 CONTACT_HEARTBEATS: Final = 6
 
--- a/src/crocusspindle/services/coordinator.py
+++ b/src/crocusspindle/services/coordinator.py
@@ -165,7 +165,7 @@
             # The stream to the entry ends without its last frame, so that the caller
             # sees a truncated response.
             transfer = ResponseTransfer.TARGET_FAILED
-            raise PeerError("the target broke the answer off") from None
+            raise PeerError("the target ended the response early") from None
         finally:
             request.end_transfer(transfer)
 
--- a/src/crocusspindle/services/entry.py
+++ b/src/crocusspindle/services/entry.py
@@ -93,13 +93,13 @@
         self._metrics = metrics
         self._logger = Logger("entry")
         self._request_numbers = itertools.count(1)
-        self._prefix = secrets.token_hex(6)
+        self._request_id_prefix = secrets.token_hex(6)
         self._named_operations: set[asyncio.Task[web.StreamResponse]] = set()
         self.running = 0
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Respond to one request of a caller."""
-        name = f"{self._prefix}-{next(self._request_numbers)}"
+        name = f"{self._request_id_prefix}-{next(self._request_numbers)}"
         started_ms = now_ms()
         service, caller = "none", "none"
         self.running += 1
@@ -212,7 +212,7 @@
             if view is not None
             else []
         )
-        detail = "this node is cut off; other addresses: " + ", ".join(
+        detail = "this node is isolated; other addresses: " + ", ".join(
             other_addresses[:3]
         )
         retry_at_ms = now_ms() + self._settings.timings.heartbeat_ms
--- a/src/crocusspindle/services/follower.py
+++ b/src/crocusspindle/services/follower.py
@@ -129,7 +129,7 @@
             await self._propose()
 
     async def stop(self) -> None:
-        """Leave the view; during a platform outage it is not recorded."""
+        """Leave the view; a platform outage keeps the next view from being written."""
         await self.leave()
 
     def _deadline_ms(self) -> float:
--- a/src/crocusspindle/services/group_meter.py
+++ b/src/crocusspindle/services/group_meter.py
@@ -33,7 +33,7 @@
         self._requests.pop(request, None)
 
     def began(self, request: RequestId, attempt: AttemptId, now_ms: float) -> None:
-        """Record the start of an attempt: the first, a retry, or a hedge of one."""
+        """Record the start of an attempt: the first one, a retry or a hedge."""
         self._started_ms[attempt] = now_ms
         attempts = self._requests.get(request)
         if attempts is None:
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -210,8 +210,8 @@
         self._conclude(request, ResponseReceived(result.target_response, outcome))
 
     def _fail(self, failed: Fail) -> None:
-        # A complete 5xx response of the last target tells the caller more than an
-        # error of this node, but not whether the work was done.
+        # A complete 5xx response of the last target gives the caller more information
+        # than an error of this node, but does not show whether the work was done.
         last = failed.last_attempt
         result = None if last is None else self._results.get(last)
         if (
--- a/src/crocusspindle/services/handed_over_request.py
+++ b/src/crocusspindle/services/handed_over_request.py
@@ -85,7 +85,10 @@
         return self.head.idempotent and (self.head.body_whole or not self.head.has_body)
 
     async def read_frames(self) -> None:
-        """Process frames until the entry withdraws; raise ``PeerError`` if lost."""
+        """Process frames until the entry withdraws.
+
+        Raises ``PeerError`` if the entry is lost.
+        """
         while True:
             frame = await self.link.receive()
             kind = frame.WhichOneof("frame")
--- a/src/crocusspindle/services/ledger.py
+++ b/src/crocusspindle/services/ledger.py
@@ -61,16 +61,16 @@
 LOAD_EVERY_ROUNDS: Final = 2
 PAGE_ROWS: Final = 500
 MAX_LOAD_PAGES: Final = 100
-"""50,000 rows, an hour of 14 keyed operations a second. A longer table is not read;
-after a change of members the retention window has to pass instead."""
+"""50,000 rows, an hour of 14 keyed operations a second. A longer table never counts as
+loaded; after a change of members the retention window has to pass instead."""
 
 MARKER_READ_INTERVAL_MS: Final = 5_000.0
 """Flush markers of an outage are read until its keys' retention window ends. With 40
 nodes, each outage of the last hour costs 8 of the table's 2,000 reads a second."""
 
 FLUSH_BATCH_ROWS: Final = 32
-"""Rows written concurrently after an outage: with 40 nodes far below the table's write
-rate, and 100 records of a node are written in seconds."""
+"""Rows written concurrently after an outage. 40 nodes together stay far below the
+table's write rate, and a node writes 100 records within seconds."""
 
 
 class LedgerService(Service):
@@ -191,8 +191,8 @@
     def _decision_authority(self) -> DecisionAuthority:
         """Return whether table or peers may decide operations now, and until when."""
         node_eligibility, now = self._control.node_eligibility, now_ms()
-        # Before each decision: the echo that granted authority by table may also have
-        # reported an outage whose records are not in the table yet.
+        # Outages are recorded before each decision: the echo that granted authority by
+        # table may also have reported an outage whose records are not in the table yet.
         self._ledger.record_outages(node_eligibility.outage_views(now))
         table_until_ms = node_eligibility.table_until_ms(now)
         if now < table_until_ms:
--- a/src/crocusspindle/services/operator_api.py
+++ b/src/crocusspindle/services/operator_api.py
@@ -90,9 +90,9 @@
     """
 
     async def validate(self, document: bytes) -> TicketSummary:
-        """Return what a ticket would change in the state before its number.
+        """Check a ticket against the state before it; return what it would change.
 
-        Permissions are checked on this result. So a node that does not know that state
+        Permissions are checked on this result. So a node that may lack that state
         raises ``NodeIneligibleError``: otherwise a ticket could restore an approval
         that its owner has just withdrawn.
         """
--- a/src/crocusspindle/services/ports.py
+++ b/src/crocusspindle/services/ports.py
@@ -142,7 +142,7 @@
     async def TryTarget(
         self, stream: Stream[wire.TryTargetRequest, wire.TryTargetReply]
     ) -> None:
-        """Try a target for a coordinator in another failure domain."""
+        """Try to connect to a target for a coordinator in another failure domain."""
         message = await _receive_message(stream)
         started_ms = now_ms()
         reached = await self._coordinator.try_target(
--- a/src/crocusspindle/services/rates.py
+++ b/src/crocusspindle/services/rates.py
@@ -204,7 +204,8 @@
         self._ledger.set_view(view.number, holders, now_ms())
 
     async def _activate(self) -> None:
-        # A new holder spends only once no majority can confirm its predecessor.
+        # Once a majority of each earlier view has this one, no previous holder can
+        # renew its eligibility, and the wait of the new holders begins.
         while True:
             view = self._control.view
             if view is not None and self._control.node_eligibility.confirmed(now_ms()):
