--- a/tests/features/steps/operators.py
+++ b/tests/features/steps/operators.py
@@ -55,7 +55,7 @@
 
 
 def send_request(context, path, node=1, body=None, **headers):
-    """Return status and JSON body of a customer's request."""
+    """Return status, JSON body and headers of the response to a customer's request."""
     headers = {name.replace("_", "-"): value for name, value in headers.items()}
     request = urllib.request.Request(
         context.fleet.nodes[node].caller_url + path,
@@ -72,7 +72,7 @@
 def send_until_admitted(context, *arguments, **keywords):
     """Send a request, and retry after 429 as the response says.
 
-    A new customer's shares start without tokens, one lease after the view.
+    The fleet has just started: shares open one lease after its view, without tokens.
     """
     deadline = time.monotonic() + SHARES_TIMEOUT_S
     status, body, headers = send_request(context, *arguments, **keywords)
@@ -83,7 +83,7 @@
 
 
 def pay(context, node, key):
-    """Send the payment under a key of the caller's."""
+    """Send the payment with an operation key of the caller."""
     return send_until_admitted(
         context, "/pay", node, b"10 ringgit", Idempotency_Key=key
     )
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -12,7 +12,7 @@
 from crocusspindle_standins.fleet import Fleet, Layout, TargetGroup, sha256
 from crocusspindle_standins.single_attempt import single_attempt_session
 
-SHARES_ACTIVE_S = 10.0
+SHARES_OPEN_S = 10.0
 SHARES_FILL_S = 1.0
 KEY = "key-of-the-caller"
 QUICK_TIMINGS = {
@@ -44,7 +44,7 @@
         query: str = "",
         timeout_ms: int | None = None,
     ) -> tuple[int, str, str]:
-        """Return status, outcome and text; 0 and the error without a whole response."""
+        """Return status, outcome and text; 0, "" and the error if the call fails."""
         headers = {"Authorization": f"Bearer {key}", "Test-Request": test_request}
         if operation:
             headers["Idempotency-Key"] = operation
@@ -92,8 +92,8 @@
             return 0, "", repr(error)
 
     async def until_served(self, node: int = 0) -> None:
-        """Wait until the customer's shares are active and a request is served."""
-        async with asyncio.timeout(SHARES_ACTIVE_S * 3):
+        """Wait until the customer's shares are open and a request is served."""
+        async with asyncio.timeout(SHARES_OPEN_S * 3):
             while (await self.send(node))[0] != 200:
                 await asyncio.sleep(0.2)
 
