--- a/scripts/build_binary.py
+++ b/scripts/build_binary.py
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True)
 class BundledFile:
-    """Hold one file of the binary."""
+    """Hold one file of the binary.
+
+    ``native`` marks the importable files of a distribution with extension modules.
+    """
 
     name: str
     content: bytes
@@ -43,7 +46,7 @@
 
 
 def distribution_files(name: str, version: str) -> list[BundledFile]:
-    """Return the files of one distribution; exit if the version is not locked."""
+    """Return the files of a distribution; exit if its version is not the locked one."""
     distribution = metadata.distribution(name)
     if distribution.version != version:
         sys.exit(f"{name} is {distribution.version}, the lock file has {version}")
--- a/src/crocusspindle_standins/callers.py
+++ b/src/crocusspindle_standins/callers.py
@@ -183,8 +183,8 @@
         outcome = response.headers.get(OUTCOME, "")
         if outcome == "not-run":
             reason = json.loads(content)["reason"]
-            over = response.status == HTTPStatus.TOO_MANY_REQUESTS
-            verdict = Verdict.OVER_RATE if over else Verdict.REFUSED
+            is_over_rate = response.status == HTTPStatus.TOO_MANY_REQUESTS
+            verdict = Verdict.OVER_RATE if is_over_rate else Verdict.REFUSED
             return verdict, response.status, reason
         if outcome == "unknown":
             return Verdict.UNKNOWN, response.status, content.decode()[:200]
@@ -236,19 +236,19 @@
     """Return the largest number of requests by which a customer exceeded its bound.
 
     A request that a target executed was admitted between its send and its end. So
-    requests that lie entirely within a window were admitted in it: more than burst +
-    rate x length of them violate the guarantee, whatever the delays were.
+    requests that lie entirely within a window were admitted in it: more of them than
+    burst + rate x window length violate the guarantee, whatever the delays were.
     """
     ran = [
         (record.sent_s, record.ended_s)
         for record in records
         if record.request in executed
     ]
-    ends = sorted(ran, key=lambda times: times[1])
+    by_end = sorted(ran, key=lambda times: times[1])
     max_excess = float("-inf")
     for start in sorted({sent for sent, _ in ran}):
         inside = 0
-        for sent, ended in ends:
+        for sent, ended in by_end:
             if sent < start:
                 continue
             inside += 1
--- a/src/crocusspindle_standins/demo.py
+++ b/src/crocusspindle_standins/demo.py
@@ -154,21 +154,23 @@
         nodes = self.fleet.nodes
         for number in range(COMPARED_REQUESTS):
             through = f"{nodes[number % len(nodes)].caller_url}/{ECHO}/x"
-            self.comparison.direct_ms.append(await _timed(session, direct, {}))
-            self.comparison.fleet_ms.append(await _timed(session, through, headers))
+            self.comparison.direct_ms.append(await _request_ms(session, direct, {}))
+            self.comparison.fleet_ms.append(
+                await _request_ms(session, through, headers)
+            )
             await asyncio.sleep(0.002)
 
     async def _load(self, session: aiohttp.ClientSession) -> None:
-        first = tuple(f"127.0.0.1:{node.caller_port}" for node in self.fleet.nodes)
+        initial = tuple(f"127.0.0.1:{node.caller_port}" for node in self.fleet.nodes)
         rng = random.Random(SEED)
         for plan in self.deployment.customers:
-            seeds = list(first)
-            rng.shuffle(seeds)
+            shuffled = list(initial)
+            rng.shuffle(shuffled)
             self.callers.append(
                 Caller(
                     plan,
                     session,
-                    Addresses(tuple(seeds)),
+                    Addresses(tuple(shuffled)),
                     random.Random(rng.random()),
                 )
             )
@@ -252,15 +254,15 @@
             "requests": len(records),
             "answered": verdicts[Verdict.ANSWERED],
             "wrong": verdicts[Verdict.WRONG] + len(refused_but_ran) + keys_seen,
-            "refused_within_rate": self._within_rate(records),
-            "refused_over_rate": self._over_rate_refusals(records),
+            "refused_within_rate": self._count_refused_within_rate(records),
+            "refused_over_rate": self._count_refused_over_rate(records),
             "refused_key": sum(r.reason == "key" for r in records),
             "refused_load": sum(
                 r.verdict is Verdict.REFUSED and r.reason != "key" for r in records
             ),
             "unknown": verdicts[Verdict.UNKNOWN] + verdicts[Verdict.NO_ANSWER],
             "ran_twice": sum(count > 1 for count in operations.values()),
-            "over_rate": self._over_rate(ran),
+            "over_rate": self._count_customers_over_rate(ran),
             "key_withdrawn_to_last_served_ms": self._last_served_after_withdrawal_ms(
                 records
             ),
@@ -292,17 +294,17 @@
             4,
         )
 
-    def _within_rate(self, records: Sequence[RequestRecord]) -> int:
+    def _count_refused_within_rate(self, records: Sequence[RequestRecord]) -> int:
         names = {caller.plan.customer for caller in self._callers_within_rate()}
         return sum(
             r.verdict is Verdict.OVER_RATE and r.customer in names for r in records
         )
 
-    def _over_rate_refusals(self, records: Sequence[RequestRecord]) -> int:
+    def _count_refused_over_rate(self, records: Sequence[RequestRecord]) -> int:
         refused = sum(r.verdict is Verdict.OVER_RATE for r in records)
-        return refused - self._within_rate(records)
+        return refused - self._count_refused_within_rate(records)
 
-    def _over_rate(self, executed: Collection[str]) -> int:
+    def _count_customers_over_rate(self, executed: Collection[str]) -> int:
         """Return how many customers exceeded their burst and rate in some window."""
         return sum(
             max_excess_requests(
@@ -345,7 +347,7 @@
         return detected_ms and round(detected_ms, 1), false_ejections
 
 
-async def _timed(
+async def _request_ms(
     session: aiohttp.ClientSession, url: str, headers: dict[str, str]
 ) -> float:
     started_s = time.perf_counter()
--- a/src/crocusspindle_standins/on_platform/demo.py
+++ b/src/crocusspindle_standins/on_platform/demo.py
@@ -1,8 +1,8 @@
 """Run a small fleet against a stand-in of the platform, with real traffic and faults.
 
-A target turns gray, a gateway is killed and a key is withdrawn under load. The report
-counts what callers received, and what must never happen: an order that ran twice, or
-one that was reported as not run although it ran.
+Under load a target turns gray and a gateway is killed; then a key is withdrawn. The
+report counts what callers received, and what must never happen: an order that ran
+twice, or one that was reported as not run although it ran.
 """
 
 import asyncio
@@ -55,7 +55,7 @@
 
 
 class Demo:
-    """Drive one demonstration."""
+    """Run one demonstration from setup to report."""
 
     def __init__(self, folder: Path, duration_s: float) -> None:
         self._fleet = Fleet(folder)
@@ -112,11 +112,11 @@
         await asyncio.sleep(self._duration_s / 4)
         self._report.gray_target_ran = gray.ran.total() - ran_before
         gray.fault = TargetFault.NONE
-        victim = self._fleet.gateways[GATEWAYS - 1]
-        assert victim.process is not None
-        victim.process.kill()
-        await victim.process.wait()
-        await self._fleet.run(victim)
+        gateway = self._fleet.gateways[GATEWAYS - 1]
+        assert gateway.process is not None
+        gateway.process.kill()
+        await gateway.process.wait()
+        await self._fleet.run(gateway)
 
     async def _withdraw_key(self) -> None:
         await self._fleet.configure(configuration(3))
--- a/src/crocusspindle_standins/on_platform/target.py
+++ b/src/crocusspindle_standins/on_platform/target.py
@@ -37,7 +37,8 @@
     """Select how a target fails.
 
     ``CROSSES`` returns the id of another request, ``CUTS`` truncates the response,
-    and ``UNFRAMED`` gives no length, so that the end of the connection ends it.
+    and ``UNFRAMED`` sends no length, so that the response lasts until the connection
+    ends.
     """
 
     NONE = "none"
--- a/src/crocusspindle_standins/platform.py
+++ b/src/crocusspindle_standins/platform.py
@@ -2,7 +2,7 @@
 
 ``PUT /control`` takes a JSON object with any of ``delay_ms`` (added to each call),
 ``mode`` (``up``, ``silent``: calls hang, ``refuse``: calls get 503,
-``lose_answers``: writes take effect and the connection breaks before the
+``lose_answers``: puts take effect and the connection breaks before the
 response), ``lag_ms`` (age of the host list) and ``hosts`` (the new list).
 """
 
--- a/src/crocusspindle_standins/prove.py
+++ b/src/crocusspindle_standins/prove.py
@@ -224,10 +224,10 @@
         file.write_text(text.replace(edit.text, edit.replacement))
 
 
-def _passes(case: Case, folder: Path, share: int) -> bool:
+def _passes(case: Case, folder: Path, port_share: int) -> bool:
     environment = os.environ | {
         "PYTHONPATH": f"{folder / 'src'}{os.pathsep}{folder}",
-        PORT_SHARE: str(share),
+        PORT_SHARE: str(port_share),
     }
     completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-x", case.test],
@@ -250,12 +250,12 @@
 
 def _check_case(case: Case, number: int) -> bool:
     """Return True if the test passes with the mechanism and fails without it."""
-    share = number % PARALLEL_CASES
+    port_share = number % PARALLEL_CASES
     with tempfile.TemporaryDirectory(prefix="crocusspindle-") as folder:
         _copy(Path(folder))
-        passes_with = _passes(case, Path(folder), share)
+        passes_with = _passes(case, Path(folder), port_share)
         _disable(case, Path(folder))
-        passes_without = _passes(case, Path(folder), share)
+        passes_without = _passes(case, Path(folder), port_share)
     labels = {True: "passes", False: "fails"}
     print(
         f"promise {case.guarantee}, {case.name}: {labels[passes_with]} with it, "
@@ -275,14 +275,14 @@
     """
     cases = list(_matching_cases(name))
     with ThreadPoolExecutor(PARALLEL_CASES) as pool:
-        noticed_by_test = list(pool.map(_check_case, cases, count()))
-    unnoticed = [
+        detected_by_case = list(pool.map(_check_case, cases, count()))
+    undetected = [
         case.name
-        for case, noticed in zip(cases, noticed_by_test, strict=True)
-        if not noticed
+        for case, detected in zip(cases, detected_by_case, strict=True)
+        if not detected
     ]
-    if unnoticed:
-        raise SystemExit(f"not confirmed: {', '.join(unnoticed)}")
+    if undetected:
+        raise SystemExit(f"not confirmed: {', '.join(undetected)}")
 
 
 if __name__ == "__main__":
--- a/src/crocusspindle_standins/target.py
+++ b/src/crocusspindle_standins/target.py
@@ -1,4 +1,4 @@
-"""Stand in for one target: slots, cold start, shedding and gray failures.
+"""Stand in for one target: slots, shedding and gray failures.
 
 ``PUT /-/control`` takes a JSON object with any of the fields of ``Faults``.
 ``GET /-/executions`` returns what ran here, to check "not run" and "at most once".
@@ -37,7 +37,10 @@
 
 @dataclass
 class ExecutionCounts:
-    """Count what ran, for which customers, and how many requests carried a key."""
+    """Count what ran, for which customers, and how many requests carried a key.
+
+    ``overruns`` counts admitted requests that found no free slot.
+    """
 
     operations: Counter[str] = field(default_factory=Counter)
     requests: Counter[str] = field(default_factory=Counter)
--- a/src/crocusspindle_standins/virtual/fleet.py
+++ b/src/crocusspindle_standins/virtual/fleet.py
@@ -137,7 +137,7 @@
         self.store.put(Table.TARGETS, target.identity, target_row(target))
 
     def configure(self, routes: int) -> None:
-        """Write a configuration of about twelve words per route."""
+        """Write a configuration as long as that of so many routes, at 12 words each."""
         words = (f"{self._rng.getrandbits(40):010x}" for _ in range(routes * 12))
         self._versions += 1
         document = {
--- a/src/crocusspindle_standins/virtual/network.py
+++ b/src/crocusspindle_standins/virtual/network.py
@@ -56,7 +56,11 @@
         self._protocols.pop(address, None)
 
     def send(self, sender: Address, receiver: Address, data: bytes) -> None:
-        """Send a datagram; drop it if too long, cut off or behind a long backlog."""
+        """Send a datagram over both hosts' links.
+
+        It is dropped if it is too long, if a host is cut off, or if a link's backlog is
+        too long.
+        """
         if len(data) > DATAGRAM_MAX_BYTES or {sender[0], receiver[0]} & self.cut_off:
             return
         now_s = self._loop.time()
