--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -55,7 +55,7 @@
 )
 from crocusspindle.settings_schema import Principal, TimingSettings
 
-ISOLATED_MESSAGE: Final = "this node may be isolated; use another node"
+ISOLATED_MESSAGE: Final = "this node may be cut off; ask another one"
 RETRY_MS: Final = 1_000.0
 MAX_HEARTBEATS_WAITED: Final = 6
 SUBMISSION_TIMEOUT_MS: Final = 8_000.0
--- a/src/crocusspindle/services/entry.py
+++ b/src/crocusspindle/services/entry.py
@@ -212,7 +212,7 @@
             if view is not None
             else []
         )
-        detail = "this node is isolated; other addresses: " + ", ".join(
+        detail = "this node is cut off; other addresses: " + ", ".join(
             other_addresses[:3]
         )
         retry_at_ms = now_ms() + self._settings.timings.heartbeat_ms
--- a/src/crocusspindle/services/error_responses.py
+++ b/src/crocusspindle/services/error_responses.py
@@ -105,7 +105,7 @@
 RESPONSE_NOT_KEPT: Final = ErrorResponse(
     410,
     "answer-not-kept",
-    "the operation ran once; its response was too long to keep",
+    "the operation ran once; its answer was too long to keep",
     outcome=None,
 )
 NO_ROUTE: Final = ErrorResponse(404, "route", "no service is reached by this path")
--- a/src/crocusspindle/services/operator_port.py
+++ b/src/crocusspindle/services/operator_port.py
@@ -102,7 +102,7 @@
         """Check a ticket and the permissions of its sender, then record it."""
         principal = request[_PRINCIPAL]
         if principal.role is Role.VIEWER:
-            raise _RefusalError(403, "viewers may not submit tickets")
+            raise _RefusalError(403, "viewers submit no tickets")
         document = await _read_body(request)
         summary = await self._backend.validate(document)
         findings = check_rights(principal, summary)
@@ -173,7 +173,7 @@
     if text.isascii() and text.isdigit() and minimum <= int(text[:20]) <= MAX_NUMBER:
         return int(text)
     finding = Finding("request", name, f"must be a whole number from {minimum}")
-    raise _RefusalError(400, "invalid request", [finding])
+    raise _RefusalError(400, "wrong request", [finding])
 
 
 def _error_response(error: Exception) -> web.Response:
@@ -182,7 +182,7 @@
     if isinstance(error, _RefusalError):
         status, findings = error.status, list(error.findings)
     elif isinstance(error, TicketError):
-        status, findings, text = 400, list(error.findings), "invalid ticket"
+        status, findings, text = 400, list(error.findings), "wrong ticket"
     elif isinstance(error, TicketConflictError):
         status = 409
     elif isinstance(error, NodeIneligibleError | PlatformUnavailableError):
--- a/src/crocusspindle/services/operator_rights.py
+++ b/src/crocusspindle/services/operator_rights.py
@@ -29,7 +29,7 @@
 def check_rights(principal: Principal, summary: TicketSummary) -> list[Finding]:
     """Return a finding for each change that the principal may not make."""
     if principal.role is Role.VIEWER:
-        return [Finding(SOURCE, ".", "viewers may not submit tickets")]
+        return [Finding(SOURCE, ".", "viewers submit no tickets")]
     findings = []
     for touch in summary.touches:
         message = _refusal(principal, touch)
@@ -42,10 +42,10 @@
     if principal.role is Role.OPERATOR:
         # Approval is the decision of the service's owner alone.
         if touch.kind is TouchKind.APPROVAL_GIVEN:
-            return f"only the owner of {touch.service} may give this approval"
+            return f"only the owner of {touch.service} gives this approval"
         return None
     if touch.kind is TouchKind.OTHER:
-        return "owners may change only approvals of their services"
+        return "owners change only approvals of their services"
     if touch.service not in principal.services:
         return f"{principal.name} does not own {touch.service}"
     if touch.approved_by not in (None, principal.name):
