--- a/src/crocusspindle/instruments.py
+++ b/src/crocusspindle/instruments.py
@@ -131,7 +131,7 @@
     unit="calls",
     labels=("call", "result"),
     meaning="Calls to the platform, by result.",
-    when_rising='More `unavailable` or `unknown`: see the page "Platform away".',
+    when_rising='More `unavailable` or `unknown`: see the page "Platform outage".',
 )
 PLATFORM_CALL_MS: Final = declare(
     "platform_call_ms",
