--- a/src/crocusspindle/core/retry_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -20,7 +20,7 @@
 the edge of another window, and is all that a placer uses of the ratio until it has its
 predecessors' counts."""
 
-SLOTS: Final = 20
+SLICES_PER_WINDOW: Final = 20
 """Time slices of a window in the counts that placers publish to one another."""
 
 KNOWN_PREDECESSOR_MS: Final = 1_500.0
@@ -154,7 +154,7 @@
         self._unpublished = 0
         self._number += 1
         slices = _time_slices(
-            self._requests, self._retries, self._window_ms / SLOTS, now_ms
+            self._requests, self._retries, self._window_ms / SLICES_PER_WINDOW, now_ms
         )
         own_records = [RetryRecord(own, self._number, slices)] if slices else []
         return own_records + list(self._others.values())
--- a/src/crocusspindle/core/retry_record.py
+++ b/src/crocusspindle/core/retry_record.py
@@ -20,17 +20,27 @@
 
     origin: str
     number: int
-    slots: Sequence[TimeSlice]
+    time_slices: Sequence[TimeSlice]
 
     @property
     def newest_ms(self) -> float:
         """Return the end of the newest time slice."""
-        return max((slot.ended_ms for slot in self.slots), default=-math.inf)
+        return max(
+            (time_slice.ended_ms for time_slice in self.time_slices), default=-math.inf
+        )
 
     def requests_since(self, since_ms: float) -> int:
         """Return the count of first attempts since a time."""
-        return sum(slot.requests for slot in self.slots if slot.ended_ms > since_ms)
+        return sum(
+            time_slice.requests
+            for time_slice in self.time_slices
+            if time_slice.ended_ms > since_ms
+        )
 
     def retries_since(self, since_ms: float) -> int:
         """Return the count of retries since a time."""
-        return sum(slot.retries for slot in self.slots if slot.ended_ms > since_ms)
+        return sum(
+            time_slice.retries
+            for time_slice in self.time_slices
+            if time_slice.ended_ms > since_ms
+        )
--- a/src/crocusspindle/gateway/retry_sharing.py
+++ b/src/crocusspindle/gateway/retry_sharing.py
@@ -73,9 +73,12 @@
             RetryRecord(
                 origin,
                 number,
-                tuple(TimeSlice(at_ms - age_ms, *counts) for age_ms, *counts in slots),
+                tuple(
+                    TimeSlice(at_ms - age_ms, *counts)
+                    for age_ms, *counts in time_slices
+                ),
             )
-            for origin, number, slots in note.records
+            for origin, number, time_slices in note.records
         ]
         budget = self.budget(ServiceId(note.service))
         budget.receive(self._own_incarnation, records, note.known_ms, at_ms)
@@ -104,8 +107,8 @@
 
 
 def _record_fields(record: RetryRecord, at_ms: float) -> list[object]:
-    slots = [
-        [round(at_ms - slot.ended_ms), slot.requests, slot.retries]
-        for slot in record.slots
+    time_slices = [
+        [round(at_ms - time_slice.ended_ms), time_slice.requests, time_slice.retries]
+        for time_slice in record.time_slices
     ]
-    return [record.origin, record.number, slots]
+    return [record.origin, record.number, time_slices]
