--- a/tests/core/test_floor_under_faults.py
+++ b/tests/core/test_floor_under_faults.py
@@ -252,9 +252,9 @@
     )
 
 
-@pytest.mark.parametrize("safe_share", [0.0, 0.3])
+@pytest.mark.parametrize("idempotent_share", [0.0, 0.3])
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_healthy_targets_get_work_while_many_others_lose_it(seed, safe_share):
+def test_healthy_targets_get_work_while_many_others_lose_it(seed, idempotent_share):
     """A third of the targets are unreachable or broken, others break intermittently.
 
     More than a tenth of the requests are lost. Each one by itself is placed best at a
@@ -263,7 +263,7 @@
     and more, while the rest carry all of it.
     """
     faults = [ALWAYS_BROKEN, NEVER_REACHED, *BROKEN_INTERMITTENTLY, HANGS]
-    service = ServiceSimulation(faults, safe_share, seed)
+    service = ServiceSimulation(faults, idempotent_share, seed)
     service.run()
     assert service.windows_below_floor() == []
 
--- a/tests/core/test_placing_load.py
+++ b/tests/core/test_placing_load.py
@@ -183,15 +183,15 @@
 
 
 @pytest.mark.parametrize(
-    "ending", [AttemptOutcome.BROKEN, AttemptOutcome.ERROR, AttemptOutcome.SILENT]
+    "outcome", [AttemptOutcome.BROKEN, AttemptOutcome.ERROR, AttemptOutcome.SILENT]
 )
-def test_gray_targets_cost_little_more_than_knowing_them_would(ending):
+def test_gray_targets_cost_little_more_than_knowing_them_would(outcome):
     """Targets turn gray for some seconds and break, fail or hang most of their work.
 
     The first request at a gray target cannot be saved. Its outcome counts for all
     entries, so that few others need to be lost.
     """
-    gray = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, ending)
+    gray = Gray(0.3, 9_000.0, 1_500.0, 3_500.0, 0.75, outcome)
     scenario = replace(BOOKINGS, gray=gray)
     lost = run_all_seeds(scenario)["confirm"].lost_fraction
     oracle_lost = run_all_seeds(scenario, oracle=True)["confirm"].lost_fraction
