--- a/tests/core/shares_world.py
+++ b/tests/core/shares_simulation.py
@@ -63,7 +63,7 @@
     timed_out: bool = False
 
 
-class World:
+class SharesSimulation:
     """Hold the platform's views and tickets, and the nodes."""
 
     def __init__(self, seed: int, nodes: int = 6, faults: Faults | None = None) -> None:
--- a/tests/core/test_quota_keeper.py
+++ b/tests/core/test_quota_keeper.py
@@ -13,7 +13,7 @@
 from crocusspindle.core.quota_reserve import QuotaReserve
 from crocusspindle.core.view import next_view
 from crocusspindle.ids import HostId
-from tests.core.quota_world import (
+from tests.core.quota_simulation import (
     CLUB,
     FENCE_MS,
     RULE,
--- a/tests/core/test_shares_bound.py
+++ b/tests/core/test_shares_bound.py
@@ -8,7 +8,13 @@
 from crocusspindle.core.holders import holders_of
 from crocusspindle.core.model import Customer
 from crocusspindle.ids import MemberId
-from tests.core.shares_world import CUSTOMERS, LEASE_MS, Faults, Node, World
+from tests.core.shares_simulation import (
+    CUSTOMERS,
+    LEASE_MS,
+    Faults,
+    Node,
+    SharesSimulation,
+)
 
 TOLERANCE = 1e-6
 SMALL = next(each for each in CUSTOMERS if each.customer == "small")
@@ -21,37 +27,41 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(seed=1)
+        self.simulation = SharesSimulation(seed=1)
 
     def node(self, number):
-        nodes = list(self.world.nodes.values())
+        nodes = list(self.simulation.nodes.values())
         return nodes[number % len(nodes)]
 
     @rule(elapsed_ms=st.sampled_from([0.3, 30.0, 300.0, 1_000.0, 2_900.0]))
     def advance(self, elapsed_ms):
-        self.world.advance(elapsed_ms)
-        self.world.tick()
+        self.simulation.advance(elapsed_ms)
+        self.simulation.tick()
 
     @rule(elapsed_ms=st.sampled_from([1.0, 400.0, 3_100.0]))
     def advance_without_contact(self, elapsed_ms):
-        self.world.advance(elapsed_ms)
+        self.simulation.advance(elapsed_ms)
 
     @rule(name=NAMES, delivery_probability=st.sampled_from([0.2, 0.95]))
     def burst(self, name, delivery_probability):
-        self.world.burst(name, list(self.world.nodes.values()), delivery_probability)
+        self.simulation.burst(
+            name, list(self.simulation.nodes.values()), delivery_probability
+        )
 
     @rule(number=NUMBERS, late=st.booleans())
     def deliver_or_time_out(self, number, late):
-        if self.world.loan_requests:
-            loan_request = self.world.loan_requests[
-                number % len(self.world.loan_requests)
+        if self.simulation.loan_requests:
+            loan_request = self.simulation.loan_requests[
+                number % len(self.simulation.loan_requests)
             ]
-            (self.world.time_out if late else self.world.deliver)(loan_request)
+            (self.simulation.time_out if late else self.simulation.deliver)(
+                loan_request
+            )
 
     @rule(number=NUMBERS)
     def refund(self, number):
-        if self.world.admitted:
-            self.world.refund(number % len(self.world.admitted))
+        if self.simulation.admitted:
+            self.simulation.refund(number % len(self.simulation.admitted))
 
     @rule(number=NUMBERS, paused=st.booleans(), isolated=st.booleans())
     def disturb(self, number, paused, isolated):
@@ -60,17 +70,17 @@
 
     @rule(number=NUMBERS)
     def replace_member(self, number):
-        members = self.world.views[-1]
-        if len(self.world.views) < 8:
-            self.world.change_view(members[number % len(members)])
+        members = self.simulation.views[-1]
+        if len(self.simulation.views) < 8:
+            self.simulation.change_view(members[number % len(members)])
 
     @rule(up=st.booleans())
     def platform(self, up):
-        self.world.platform_up = up
+        self.simulation.platform_up = up
 
     @invariant()
     def stays_within_the_bound(self):
-        assert self.world.excess() <= TOLERANCE
+        assert self.simulation.excess() <= TOLERANCE
 
 
 TestShares = Shares.TestCase
@@ -79,63 +89,69 @@
 )
 
 
-def run(seed: int, faults: Faults, steps: int = 600) -> World:
-    world = World(seed, faults=faults)
+def run(seed: int, faults: Faults, steps: int = 600) -> SharesSimulation:
+    simulation = SharesSimulation(seed, faults=faults)
     for _ in range(steps):
-        world.step()
-    return world
+        simulation.step()
+    return simulation
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_random_faults_stay_within_the_bound(seed):
-    world = run(seed, Faults())
-    assert len(world.admitted) > 50
-    assert world.excess() <= TOLERANCE
-
-
-def full_world(faults: Faults) -> tuple[World, list[Node], list[Node]]:
-    """Return a world with full shares, the holders of "small", and the others."""
-    world = World(seed=3, nodes=9, faults=faults)
-    world.advance(60_000.0)
-    world.tick()
-    names = holders_in(world, SMALL)
-    holders = [world.nodes[name] for name in names]
-    return world, holders, [n for n in world.nodes.values() if n not in holders]
-
-
-def delayed_loan(faults: Faults) -> World:
-    world, holders, others = full_world(faults)
-    world.request(others[0], SMALL.customer)
-    (loan_request,) = world.loan_requests
-    world.deliver(loan_request)
-    world.advance(2_900.0)
-    world.tick()
-    world.deliver(loan_request)
-    world.burst(SMALL.customer, [*holders, *others], delivery_probability=1.0)
-    return world
-
-
-def resumed_holder(faults: Faults) -> World:
-    world, holders, _ = full_world(faults)
+    simulation = run(seed, Faults())
+    assert len(simulation.admitted) > 50
+    assert simulation.excess() <= TOLERANCE
+
+
+def full_simulation(faults: Faults) -> tuple[SharesSimulation, list[Node], list[Node]]:
+    """Return a simulation with full shares, the holders of "small", and the others."""
+    simulation = SharesSimulation(seed=3, nodes=9, faults=faults)
+    simulation.advance(60_000.0)
+    simulation.tick()
+    names = holders_in(simulation, SMALL)
+    holders = [simulation.nodes[name] for name in names]
+    return (
+        simulation,
+        holders,
+        [n for n in simulation.nodes.values() if n not in holders],
+    )
+
+
+def delayed_loan(faults: Faults) -> SharesSimulation:
+    simulation, holders, others = full_simulation(faults)
+    simulation.request(others[0], SMALL.customer)
+    (loan_request,) = simulation.loan_requests
+    simulation.deliver(loan_request)
+    simulation.advance(2_900.0)
+    simulation.tick()
+    simulation.deliver(loan_request)
+    simulation.burst(SMALL.customer, [*holders, *others], delivery_probability=1.0)
+    return simulation
+
+
+def resumed_holder(faults: Faults) -> SharesSimulation:
+    simulation, holders, _ = full_simulation(faults)
     holders[0].paused = True
-    world.change_view(holders[0].member)
+    simulation.change_view(holders[0].member)
     for _ in range(100):
-        world.advance(100.0)
-        world.tick()
+        simulation.advance(100.0)
+        simulation.tick()
     holders[0].paused = False
-    world.burst(SMALL.customer, list(world.nodes.values()), delivery_probability=1.0)
-    return world
+    simulation.burst(
+        SMALL.customer, list(simulation.nodes.values()), delivery_probability=1.0
+    )
+    return simulation
 
 
-def delayed_refund(faults: Faults) -> World:
-    world, holders, others = full_world(faults)
-    world.burst(SMALL.customer, [*holders, *others], delivery_probability=1.0)
-    world.advance(2_900.0)
-    world.tick()
-    world.burst(SMALL.customer, [*holders, *others], delivery_probability=1.0)
-    world.refund(0)
-    world.burst(SMALL.customer, [*holders, *others], delivery_probability=1.0)
-    return world
+def delayed_refund(faults: Faults) -> SharesSimulation:
+    simulation, holders, others = full_simulation(faults)
+    simulation.burst(SMALL.customer, [*holders, *others], delivery_probability=1.0)
+    simulation.advance(2_900.0)
+    simulation.tick()
+    simulation.burst(SMALL.customer, [*holders, *others], delivery_probability=1.0)
+    simulation.refund(0)
+    simulation.burst(SMALL.customer, [*holders, *others], delivery_probability=1.0)
+    return simulation
 
 
 @pytest.mark.parametrize(
@@ -156,41 +172,43 @@
     assert events(Faults()).excess() <= TOLERANCE
 
 
-def replaced_and_isolated(name: str, faults: Faults) -> World:
+def replaced_and_isolated(name: str, faults: Faults) -> SharesSimulation:
     """Isolate a holder in a platform outage, just after it was replaced.
 
     The previous holder was in contact with the majority until just before the majority
     adopted the new view.
     """
-    world = World(seed=3, nodes=9, faults=faults)
-    world.advance(60_000.0)
-    world.tick()
+    simulation = SharesSimulation(seed=3, nodes=9, faults=faults)
+    simulation.advance(60_000.0)
+    simulation.tick()
     limit = next(each for each in CUSTOMERS if each.customer == name)
-    before = holders_in(world, limit)
-    holder = world.nodes[before[0]]
-    world.change_view(holder.member)
-    (successor,) = set(holders_in(world, limit)) - set(before)
-    world.poll(world.nodes[successor])
-    world.platform_up = False
-    world.advance(LEASE_MS - 100.0)
-    others = [node for node in world.nodes.values() if node is not holder]
+    before = holders_in(simulation, limit)
+    holder = simulation.nodes[before[0]]
+    simulation.change_view(holder.member)
+    (successor,) = set(holders_in(simulation, limit)) - set(before)
+    simulation.poll(simulation.nodes[successor])
+    simulation.platform_up = False
+    simulation.advance(LEASE_MS - 100.0)
+    others = [node for node in simulation.nodes.values() if node is not holder]
     for node in others:
         if node.member.member != successor:
-            world.contact(holder, node)
+            simulation.contact(holder, node)
     holder.isolated = True
     for hundred_ms in range(80):
-        world.advance(100.0)
+        simulation.advance(100.0)
         for node in others:
             for peer in others:
-                world.contact(node, peer)
+                simulation.contact(node, peer)
         if hundred_ms >= 28:
-            world.burst(limit.customer, [holder, *others], delivery_probability=1.0)
-    return world
+            simulation.burst(
+                limit.customer, [holder, *others], delivery_probability=1.0
+            )
+    return simulation
 
 
-def holders_in(world: World, limit: Customer) -> tuple[MemberId, ...]:
+def holders_in(simulation: SharesSimulation, limit: Customer) -> tuple[MemberId, ...]:
     rate_per_s, burst = limit.rate_per_s, limit.burst
-    return holders_of(limit.customer, rate_per_s, burst, world.views[-1])
+    return holders_of(limit.customer, rate_per_s, burst, simulation.views[-1])
 
 
 @pytest.mark.parametrize("name", ["tiny", "small", "large"])
