--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -50,10 +50,13 @@
 
 @dataclass(frozen=True)
 class FleetPoint:
-    """Hold the cost of one idle fleet; processor, memory and bytes are per node.
+    """Hold the cost of one idle fleet.
 
-    ``ticket_in_force_ms`` is the longest time until a ticket is in force on all nodes,
-    ``agreed_s`` the time from the start of the fleet until its nodes share a view.
+    Processor time and bytes are means per node, ``rss_mb`` is the node with most
+    memory, platform reads and writes are those of the whole fleet.
+    ``peer_bytes_per_s`` counts heartbeats and echoes, ``ticket_in_force_ms`` is the
+    longest time until a ticket is in force on all nodes, ``agreed_s`` the time from the
+    start of the fleet until its nodes share a view.
     """
 
     nodes: int
@@ -89,7 +92,8 @@
 class TargetPoint:
     """Hold the cost to one node of a host list of this many targets.
 
-    ``cut_ms`` is the time to partition the targets of all services into groups.
+    ``cut_ms`` is the time to partition the targets of all services into groups,
+    ``list_bytes`` an estimate of the size of the list.
     """
 
     targets: int
@@ -112,7 +116,7 @@
 
 
 async def _sent_heartbeat_bytes(fleet: Fleet) -> float:
-    """Return the bytes that all nodes sent to peers, from their metrics."""
+    """Return the bytes of heartbeats and echoes that all nodes sent, by metric."""
     total = 0.0
     for node in fleet.nodes:
         url = f"http://127.0.0.1:{node.metrics_port}/metrics"
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -1,4 +1,4 @@
-"""Measure memory use and lookup rates of the directory by number of customers.
+"""Measure memory use and speed of the directory by number of customers.
 
 Each size is measured in a fresh process that has imported the code of a whole node.
 Run ``python -m benchmarks.directory --output FILE``; figures depend on the machine.
@@ -141,7 +141,7 @@
 
 
 def main() -> None:
-    """Print one row, or write the table of all sizes."""
+    """Print one row, save or load one dump, or write the table of all sizes."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--output", type=Path)
     parser.add_argument("--count", type=int)
--- a/benchmarks/fleet_start.py
+++ b/benchmarks/fleet_start.py
@@ -1,8 +1,8 @@
 """Start whole fleets in virtual time, and measure the cost of their membership.
 
-The real services of `serve` keep versioned state and views; links have a bandwidth,
-processor time is free. Each row is one fleet: ten seconds from its start, then ten
-seconds idle.
+Each node runs the real services that keep its fleet state fresh. Links have a limited
+bandwidth; processor time is not simulated. Each row is one fleet: ten seconds from its
+start, then ten seconds idle.
 """
 
 import asyncio
@@ -21,6 +21,7 @@
 
 LARGE: Final = HostSize(200.0, 2.15)
 SMALL: Final = HostSize(20.0, 0.43)
+# Numbers of large and small hosts.
 FLEETS: Final = ((0, 30), (0, 133), (8, 125), (0, 300), (18, 275), (36, 564))
 TARGETS: Final = 600
 PHASE_S: Final = 10.0
@@ -31,10 +32,13 @@
 
 @dataclass(frozen=True)
 class Row:
-    """Hold the cost of one fleet; ``known_s`` is when all hosts had all lists.
+    """Hold the cost of one fleet.
 
-    ``start_`` columns cover the start phase, ``rest_`` columns the idle phase.
-    ``busiest_kb`` is what the link with most traffic sent in the start phase.
+    ``known_s`` is the time from the start until all hosts had the configuration, the
+    targets and the view; ``views`` is the highest version of the view in force after
+    the start phase. ``start_`` columns cover the start phase, ``rest_`` columns the
+    idle phase. ``busiest_kb`` is what the link with most traffic sent in the start
+    phase.
     """
 
     hosts: int
--- a/benchmarks/gray_targets.py
+++ b/benchmarks/gray_targets.py
@@ -1,10 +1,10 @@
 """Measure detection time and cost of gray targets by the ejection threshold.
 
 The load is that of a service in production: 15 targets of 2 slots, a third of them in
-use, and 59 non-idempotent requests a second, of which healthy targets fail 1.2 %. One
-target after another turns gray for five seconds, followed by five seconds without a
-gray target, while all health checks succeed. Run
-``python -m benchmarks.gray_targets``; all time is virtual and every run is seeded.
+use, and 59 non-idempotent requests a second, of which healthy targets fail 1.2 %. After
+each five seconds without a gray target, the next target turns gray for five seconds,
+while all health checks succeed. Run ``python -m benchmarks.gray_targets``; all time is
+virtual and every run is seeded.
 """
 
 import heapq
@@ -207,7 +207,7 @@
 
 
 class Trial:
-    """Run one service in virtual time."""
+    """Simulate one service in virtual time."""
 
     def __init__(
         self, detector: Placers | ConsecutiveErrors, fault: Fault, seed: int
@@ -295,13 +295,14 @@
                 began_ms = window * 2 * WINDOW_MS + WINDOW_MS
                 self._ejected_ms.setdefault(window, at_ms - began_ms)
             elif target not in recent:
-                # A target that was gray in the previous window may still be on trial.
+                # A target that was gray in the previous window may still be on trial,
+                # where its first failure ejects it again.
                 self.outcome.false_ejections += 1
 
 
 @contextmanager
 def threshold(nats: float) -> Iterator[None]:
-    """Eject at another error threshold; a broken connection still ejects."""
+    """Eject at another error threshold; a broken connection ejects at any."""
     previous_nats = target_tracker.EJECT_NATS
     target_tracker.EJECT_NATS = nats  # type: ignore[misc]  # constant elsewhere
     try:
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -95,35 +95,40 @@
 def watch_fault(
     group: Group, bad: Behaviour, seed: int, thresholds_nats: Iterable[float]
 ) -> dict[str, float]:
-    """Return the detection time by each threshold and by five consecutive errors."""
-    trial = HealthTrial.from_config(
+    """Return the detection time by each threshold and by five consecutive errors.
+
+    The simulation itself never ejects, so that all watchers evaluate the same attempts.
+    """
+    simulation = HealthTrial.from_config(
         group.targets,
         group.slots,
         load=LOAD,
         seed=seed,
         settings=settings_at(1e9),
     )
-    gray = trial.targets[0].target
-    trial.behaviours[gray] = since(WARM_UP_MS, bad)
+    gray = simulation.targets[0].target
+    simulation.behaviours[gray] = since(WARM_UP_MS, bad)
     settings = {f"{nats:g}": settings_at(nats) for nats in thresholds_nats}
     settings[CHOSEN] = HealthSettings()
     for name, config in settings.items():
         group_health = GroupHealth.from_config(config, 0.5)
-        group_health.set_targets(trial.targets, 0.0)
-        trial.watchers[name] = Watcher(group_health, trial.reaches)
-    trial.watchers[FIVE_ERRORS] = FiveErrors()
+        group_health.set_targets(simulation.targets, 0.0)
+        simulation.watchers[name] = Watcher(group_health, simulation.reaches)
+    simulation.watchers[FIVE_ERRORS] = FiveErrors()
     end_ms = WARM_UP_MS
     while end_ms < WARM_UP_MS + WATCH_MS:
         end_ms += 250.0
-        trial.run_until(end_ms)
-        evaluators = [w for name, w in trial.watchers.items() if name != FIVE_ERRORS]
+        simulation.run_until(end_ms)
+        evaluators = [
+            w for name, w in simulation.watchers.items() if name != FIVE_ERRORS
+        ]
         if all(gray in watcher.ejected_ms for watcher in evaluators):
             break
     # Five consecutive errors may not occur within the run; their time is then infinite
     # here, and five_errors_mean_s gives its mean.
     return {
         name: watcher.ejected_ms.get(gray, float("inf")) - WARM_UP_MS
-        for name, watcher in trial.watchers.items()
+        for name, watcher in simulation.watchers.items()
     }
 
 
@@ -156,49 +161,51 @@
 
 def count_group_health_alarms(threshold_nats: float, seed: int) -> tuple[int, int]:
     """Return the false ejections by ``GroupHealth``, and the requests evaluated."""
-    trial = HealthTrial.from_config(
+    simulation = HealthTrial.from_config(
         8, 2, load=LOAD, seed=seed, settings=settings_at(threshold_nats)
     )
-    trial.run_until(EVALUATED_MS)
-    return len(trial.times(Ejected)), trial.completed_requests
+    simulation.run_until(EVALUATED_MS)
+    return len(simulation.times(Ejected)), simulation.completed_requests
 
 
 def measure_flapping(seed: int) -> dict[str, float]:
-    """Return the fraction failed in 2 min if one target fails 5 s of every 10 s."""
+    """Return failures and ejections in 2 min if one target fails 5 s of every 10 s."""
     result = {}
     for name, config in (("judged", HealthSettings()), ("never", settings_at(1e9))):
-        trial = HealthTrial.from_config(8, 2, seed=seed, settings=config)
-        gray = trial.targets[0].target
-        trial.behaviours[gray] = flapping(WARM_UP_MS, 5_000.0, failing(1.0))
-        trial.run_until(WARM_UP_MS + 120_000.0)
-        result[f"{name}_failed"] = trial.failures / trial.completed_requests
-        result[f"{name}_ejections"] = float(len(trial.times(Ejected, gray)))
+        simulation = HealthTrial.from_config(8, 2, seed=seed, settings=config)
+        gray = simulation.targets[0].target
+        simulation.behaviours[gray] = flapping(WARM_UP_MS, 5_000.0, failing(1.0))
+        simulation.run_until(WARM_UP_MS + 120_000.0)
+        result[f"{name}_failed"] = simulation.failures / simulation.completed_requests
+        result[f"{name}_ejections"] = float(len(simulation.times(Ejected, gray)))
         if name == "judged":
-            result["first_ms"] = (trial.first(Ejected, gray) or 0.0) - WARM_UP_MS
+            result["first_ms"] = (simulation.first(Ejected, gray) or 0.0) - WARM_UP_MS
     return result
 
 
 def measure_floor_cost(seed: int) -> dict[str, dict[str, float]]:
     """Return the fraction of requests that failed or were not served in time.
 
-    Each run takes one minute; the keys give how many of 8 targets fail all work, and
-    the load. "whole" lets one coordinator use the whole ejection cap, "half" the share
-    of one of two coordinators, and "none" ejects no target.
+    Each run takes one virtual minute; the keys give how many of 8 targets fail all
+    requests, and the load. "whole" lets one coordinator use the whole ejection cap,
+    "half" the share of one of two coordinators, and "none" ejects no target.
     """
-    ways = {
+    settings_by_name = {
         "none": settings_at(1e9),
         "half": HealthSettings(),
         "whole": replace(HealthSettings(), coordinators_at_once=1),
     }
     costs: dict[str, dict[str, float]] = {}
-    for name, config in ways.items():
+    for name, config in settings_by_name.items():
         costs[name] = {}
         for load, bad in product((0.3, LOAD), (1, 2, 3, 4)):
-            trial = HealthTrial.from_config(8, 2, load=load, seed=seed, settings=config)
-            for target in trial.targets[:bad]:
-                trial.behaviours[target.target] = failing(1.0)
-            trial.run_until(60_000.0)
-            costs[name][f"{bad} at {load:.0%}"] = round(trial.failed_fraction, 4)
+            simulation = HealthTrial.from_config(
+                8, 2, load=load, seed=seed, settings=config
+            )
+            for target in simulation.targets[:bad]:
+                simulation.behaviours[target.target] = failing(1.0)
+            simulation.run_until(60_000.0)
+            costs[name][f"{bad} at {load:.0%}"] = round(simulation.failed_fraction, 4)
     return costs
 
 
@@ -253,7 +260,7 @@
 
 
 def print_table(figures: Mapping[str, Any]) -> None:
-    """Print detection times and false ejections."""
+    """Print detection times and false ejections as tables, other figures as JSON."""
     print("service        fault        threshold    p50 ms   p95 ms")
     for name, faults in figures["detection"].items():
         for fault, by_threshold in faults.items():
--- a/benchmarks/health_trial.py
+++ b/benchmarks/health_trial.py
@@ -38,7 +38,7 @@
 
 
 def failing(rate: float) -> Behaviour:
-    """Return the behaviour of a target that fails a fraction of its work."""
+    """Return the behaviour of a target that fails a fraction of its requests."""
 
     def work(rng: Random, now_ms: float) -> tuple[Outcome, float]:
         outcome = Outcome.ERROR if rng.random() < rate else Outcome.OK
@@ -87,7 +87,7 @@
 
 
 class Watcher:
-    """Evaluate attempts that another evaluator places; record the first ejection."""
+    """Evaluate attempts that the simulation places; record the first ejections."""
 
     def __init__(
         self, group_health: GroupHealth, reaches: Callable[[TargetId], bool]
@@ -97,7 +97,7 @@
         self.ejected_ms: dict[TargetId, float] = {}
 
     def observe(self, sample: Sample, now_ms: float) -> None:
-        """Pass one ended attempt on, until the first ejection."""
+        """Evaluate one ended attempt, unless a target was ejected before."""
         if self.ejected_ms:
             return
         self.record(self.group_health.observe(sample, now_ms), now_ms)
@@ -115,7 +115,7 @@
                 self.record(further_changes, now_ms)
 
     def tick(self, running: Mapping[TargetId, dict[int, float]], now_ms: float) -> None:
-        """Pass the tick and the ages of outstanding requests on."""
+        """Evaluate the outstanding requests, unless a target was ejected before."""
         if self.ejected_ms:
             return
         self.record(self.group_health.tick(now_ms), now_ms)
@@ -131,15 +131,15 @@
 
     def __init__(self) -> None:
         self.ejected_ms = {}
-        self._in_a_row: dict[TargetId, int] = {}
+        self._consecutive_errors: dict[TargetId, int] = {}
 
     def observe(self, sample: Sample, now_ms: float) -> None:
         """Count consecutive errors."""
-        in_a_row = self._in_a_row.get(sample.target, 0) + 1
+        consecutive_errors = self._consecutive_errors.get(sample.target, 0) + 1
         if sample.outcome not in FAILURES:
-            in_a_row = 0
-        self._in_a_row[sample.target] = in_a_row
-        if in_a_row >= 5:
+            consecutive_errors = 0
+        self._consecutive_errors[sample.target] = consecutive_errors
+        if consecutive_errors >= 5:
             self.ejected_ms.setdefault(sample.target, now_ms)
 
     def tick(self, running: Mapping[TargetId, dict[int, float]], now_ms: float) -> None:
@@ -148,7 +148,7 @@
 
 @dataclass
 class HealthTrial:
-    """Run one group against ``GroupHealth`` and record the health changes."""
+    """Simulate one group that ``GroupHealth`` evaluates; record its health changes."""
 
     targets: list[Target]
     load: float
@@ -174,7 +174,7 @@
         floor_fraction: float = 0.5,
         settings: HealthSettings | None = None,
     ) -> "HealthTrial":
-        """Return a trial of one group; ``load`` is a fraction of its slots."""
+        """Return the simulation of one group; ``load`` is a fraction of its slots."""
         group_health = GroupHealth.from_config(
             settings or HealthSettings(), floor_fraction
         )
@@ -201,16 +201,16 @@
             callback()
         self.now_ms = end_ms
 
-    def first(self, kind: type, target: TargetId | None = None) -> float | None:
-        """Return the time of the first change of a kind."""
-        return next(iter(self.times(kind, target)), None)
+    def first(self, change_type: type, target: TargetId | None = None) -> float | None:
+        """Return the time of the first change of a type; None if there is none."""
+        return next(iter(self.times(change_type, target)), None)
 
-    def times(self, kind: type, target: TargetId | None = None) -> list[float]:
-        """Return the times of all changes of a kind."""
+    def times(self, change_type: type, target: TargetId | None = None) -> list[float]:
+        """Return the times of all changes of a type."""
         return [
             at_ms
             for at_ms, change in self.changes
-            if isinstance(change, kind)
+            if isinstance(change, change_type)
             and (target is None or getattr(change, "target", None) == target)
         ]
 
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -2,8 +2,8 @@
 
 Loads and faults are those of services of 15 to 20 targets: gray failures of each kind,
 short requests beside long ones, paths that lose connections, a service over its
-capacity. Each runs with all mechanisms and without each one, with the same seeds. Run
-``python -m benchmarks.placing``; all time is virtual.
+capacity. Each runs with all mechanisms on and with each one off, with the same seeds.
+Run ``python -m benchmarks.placing``; all time is virtual.
 """
 
 import json
@@ -85,7 +85,8 @@
 
     ``credit`` is the mean over all requests, where an answer later than its latency
     objective counts ``LATE_CREDIT``; ``credit_error`` is its standard error over the
-    seeds. ``sendings`` are attempts per request, ``far`` is the fraction of attempts to
+    seeds. ``late``, ``lost`` and ``refused`` are fractions of all requests,
+    ``sendings`` are attempts per request, ``far`` is the fraction of attempts to
     targets in other failure domains.
     """
 
@@ -101,7 +102,7 @@
 
 
 def play(load: str, without: str, seed: int) -> tuple[float, ...]:
-    """Return the figures of one run, over all routes together, in order of ``Row``."""
+    """Return the figures of ``Row`` for one run, in order and without the error."""
     policies = Policies.from_names(without)
     tallies = PlacingTrial(LOADS[load], seed, policies=policies).run().values()
     request_count = sum(tally.request_count for tally in tallies)
@@ -120,9 +121,9 @@
 def rows(cases: Iterable[tuple[str, str]], seeds: int) -> list[Row]:
     """Return the figures of all cases, run in several processes."""
     cases = list(cases)
-    plays = [(*case, seed) for case in cases for seed in range(seeds)]
+    arguments = [(*case, seed) for case in cases for seed in range(seeds)]
     with ProcessPoolExecutor(PROCESSES) as pool:
-        figures = list(pool.map(play, *zip(*plays, strict=True)))
+        figures = list(pool.map(play, *zip(*arguments, strict=True)))
     result_rows = []
     for number, (load, without) in enumerate(cases):
         runs = figures[number * seeds : (number + 1) * seeds]
--- a/benchmarks/placing_trial.py
+++ b/benchmarks/placing_trial.py
@@ -33,7 +33,12 @@
 
 @dataclass(frozen=True)
 class RouteLoad:
-    """Describe the requests of one route; ``work_ms`` is the mean service time."""
+    """Describe the requests of one route.
+
+    ``work_ms`` is the mean service time and ``spread`` its coefficient of variation;
+    ``aim_ms`` is the latency objective. A failed idempotent request is retried until
+    ``attempts`` attempts have reached a target.
+    """
 
     name: str
     idempotent: bool
@@ -58,9 +63,10 @@
 class Gray:
     """Define how often targets turn gray, for how long, and how they fail.
 
-    In each period a target turns gray with a probability of `share`, for a time between
-    the two bounds. It then fails the fraction `failure_fraction` of its requests with
-    `outcome`; for ``ANSWERED`` these take `slow` times as long instead.
+    In each period a target turns gray with a probability of ``share``, for a time
+    between the two bounds. It then fails the fraction ``failure_fraction`` of its
+    requests with ``outcome``; for ``ANSWERED`` these take ``slow`` times as long
+    instead.
     """
 
     share: float
@@ -76,8 +82,8 @@
 class BadPaths:
     """Define which pairs of entry and target lose connections, and how many.
 
-    `share` is the fraction of pairs, drawn once; `loss_fraction` that of their
-    connections. An entry gives up a lost connection after `connect_ms`.
+    ``share`` is the fraction of pairs, drawn once; ``loss_fraction`` that of their
+    connections. An entry stops waiting for a lost connection after ``connect_ms``.
     """
 
     share: float
@@ -198,7 +204,11 @@
 
 
 class PlacingTrial:
-    """Run one service under one load with one seed."""
+    """Simulate one service under one load with one seed.
+
+    With ``oracle``, each placement request excludes the targets that are gray at the
+    time.
+    """
 
     def __init__(
         self,
@@ -210,7 +220,7 @@
         self._scenario = scenario
         self._rng = random.Random(seed)
         self._gray_plan = GrayPlan(scenario, random.Random(seed + 1))
-        self._paths = PathPlan(scenario, random.Random(seed + 2))
+        self._path_plan = PathPlan(scenario, random.Random(seed + 2))
         self._oracle = oracle
         self._events: list[_Event] = []
         self._number = 0
@@ -221,10 +231,10 @@
         # No other placer served before this one, so its retry counts are complete.
         self._budget.set_known_since(-math.inf)
         self.placer = ServicePlacer(FLOOR_FRACTION, self._budget, policies)
-        self.placer.set_targets(self._listed(), 0.0)
+        self.placer.set_targets(self._make_listed_targets(), 0.0)
         self.tallies = {route_load.name: Tally() for route_load in scenario.route_loads}
 
-    def _listed(self) -> list[ListedTarget]:
+    def _make_listed_targets(self) -> list[ListedTarget]:
         return [
             ListedTarget(
                 TargetIdentity(str(number)),
@@ -362,7 +372,7 @@
         self, request: _Request, target: int, now_ms: float
     ) -> tuple[AttemptOutcome, float]:
         paths = self._scenario.paths
-        if paths is not None and self._paths.loses(
+        if paths is not None and self._path_plan.loses(
             request.entry, target, now_ms, self._rng.random()
         ):
             return AttemptOutcome.UNREACHED, paths.connect_ms
--- a/benchmarks/queueing.py
+++ b/benchmarks/queueing.py
@@ -84,12 +84,12 @@
     settings: CoordinatorSettings = _SETTINGS,
     entry_hop_ms: float = _HOP_MS,
     target_hop_ms: float = 0.0,
-    kind: type[GroupCoordinator] = GroupCoordinator,
+    coordinator_type: type[GroupCoordinator] = GroupCoordinator,
 ) -> tuple[EventLoop, CoordinatorDriver, list[VirtualTarget]]:
     """Return an event loop, a coordinator's driver and its healthy targets."""
     loop = EventLoop()
     targets = make_targets(loop, _TARGETS, _SLOTS, random.Random(SEED + 1))
-    coordinator = kind.from_config(
+    coordinator = coordinator_type.from_config(
         settings, ConstantTargetWeights(), random.Random(SEED + 2)
     )
     driver = CoordinatorDriver(loop, coordinator, targets, entry_hop_ms, target_hop_ms)
@@ -138,7 +138,10 @@
 
 
 def describe_customers(jobs: list[Job], without: CustomerId | None) -> dict[str, float]:
-    """Return the results of the worst-served customer and of all together."""
+    """Return the results of the worst-served customer and of all together.
+
+    Only ``all_in_time`` counts the customer ``without``.
+    """
     grouped = by_customer(jobs)
     chosen = [jobs for customer, jobs in grouped.items() if customer != without]
     counted = [job for group in chosen for job in group]
@@ -160,16 +163,19 @@
         ("five_times", five_times_neighbour(), LARGEST),
         ("shortage", demands(_CAPACITY_PER_S / 0.7 / sum(_RATES_PER_S)), None),
     ):
-        for way, fair in (("fifo", False), ("home", True)):
+        for discipline, fair in (("fifo", False), ("home", True)):
             jobs = serve(demand, seconds, fair)
-            figures[f"{name}_{way}"] = describe_customers(jobs, without)
+            figures[f"{name}_{discipline}"] = describe_customers(jobs, without)
     return figures
 
 
 def describe_waiting(
     jobs: list[Job], targets: list[VirtualTarget], hops_ms: float = 0.0
 ) -> dict[str, float]:
-    """Return waiting times, overruns of targets' slots and attempts per request."""
+    """Return waiting times, overruns of targets' slots and attempts per request.
+
+    Waiting times include ``hops_ms``, the network delay of a request and its answer.
+    """
     waits = [max(0.0, job.answered_ms - job.arrived_ms - job.work_ms) for job in jobs]
     return {
         "mean_wait_ms": sum(waits) / len(waits),
@@ -215,20 +221,20 @@
 
 
 def place_by_ideal_queue(load: float, seconds: float) -> dict[str, float]:
-    """Measure waiting with one ideal queue that knows all slots, without any hop."""
+    """Measure waiting with one ideal queue for all slots, without any hop."""
     jobs = slot_jobs(load, seconds)
     serve_by_one_queue(jobs, _TARGETS * _SLOTS)
     return describe_waiting(jobs, [])
 
 
 def measure_slots(loads: tuple[float, ...], seconds: float) -> Figures:
-    """Compare ways to place requests on slots."""
+    """Compare methods of placing requests on slots."""
     figures: Figures = {}
     for load in loads:
         percent = round(load * 100)
         ideal = place_by_ideal_queue(load, seconds)
         no_hedges = CoordinatorSettings(hedge_fraction=0.0)
-        ways = {
+        methods = {
             "optimum": ideal,
             "home": place_by_coordinator(load, seconds, CoordinatorSettings()),
             "home_no_hedges": place_by_coordinator(load, seconds, no_hedges),
@@ -238,12 +244,12 @@
             "entries_queue": place_by_entries(load, seconds, queues=True),
             "entries_shed": place_by_entries(load, seconds, queues=False),
         }
-        for way, results in ways.items():
+        for method, results in methods.items():
             results["to_optimum"] = results["mean_wait_ms"] / ideal["mean_wait_ms"]
             results["to_optimum_without_hops"] = (
                 results["mean_wait_without_hops_ms"] / ideal["mean_wait_ms"]
             )
-            figures[f"load_{percent}_{way}"] = results
+            figures[f"load_{percent}_{method}"] = results
     return figures
 
 
@@ -251,7 +257,7 @@
     """Measure one bad target and total failure, with and without retries and hedges."""
     figures: Figures = {}
     plain = CoordinatorSettings(retry_fraction=0.0, hedge_fraction=0.0, max_attempts=1)
-    for way, settings in (("off", plain), ("on", CoordinatorSettings())):
+    for mode, settings in (("off", plain), ("on", CoordinatorSettings())):
         for fault in ("slow", "mute", "failing", "all_failing"):
             jobs = make_jobs(
                 demands(), seconds * 1_000.0, exponential_work, random.Random(SEED)
@@ -268,7 +274,7 @@
             results = describe_customers(jobs, None)
             results["sent_per_request"] = sum(job.sent for job in jobs) / len(jobs)
             results["p99_ms"] = response_p99_ms(jobs)
-            figures[f"{fault}_{way}"] = results
+            figures[f"{fault}_{mode}"] = results
     return figures
 
 
@@ -311,7 +317,7 @@
         jobs = make_jobs(
             demands(scale), seconds * 1_000.0, exponential_work, random.Random(SEED)
         )
-        loop, driver, targets = make_driver(kind=RecordingCoordinator)
+        loop, driver, targets = make_driver(coordinator_type=RecordingCoordinator)
         recorded = cast(RecordingCoordinator, driver.coordinator)
         driver.submit(jobs)
         loop.run()
--- a/benchmarks/queueing_baselines.py
+++ b/benchmarks/queueing_baselines.py
@@ -12,7 +12,7 @@
 
 
 def serve_by_one_queue(jobs: Iterable[Job], slots: int) -> None:
-    """Serve jobs in order of arrival from one queue that knows every slot."""
+    """Serve jobs in order of arrival from one ideal queue for all slots."""
     free_ms = [0.0] * slots
     for job in jobs:
         began_ms = max(heappop(free_ms), job.arrived_ms)
--- a/benchmarks/queueing_plots.py
+++ b/benchmarks/queueing_plots.py
@@ -10,13 +10,13 @@
 import matplotlib.pyplot as plt
 
 _LOADS = (70, 80, 90, 95)
-_WAYS = {
+_METHOD_LABELS = {
     "optimum": "one queue that knows all slots",
     "home": "coordinator, both hops counted",
     "entries_shed": "40 entries pick, full targets shed",
     "entries_queue": "40 entries pick, targets queue",
 }
-_CASES = {"five_times": "one tenant at 5x", "shortage": "capacity 70 % of demand"}
+_CASES = {"five_times": "one customer at 5x", "shortage": "capacity 70 % of demand"}
 
 Figures = dict[str, dict[str, float]]
 
@@ -28,8 +28,8 @@
         (axes[0], "mean_wait_ms", "mean wait (ms)"),
         (axes[1], "p99_wait_ms", "p99 wait (ms)"),
     ):
-        for way, label in _WAYS.items():
-            values = [figures[f"load_{load}_{way}"][metric] for load in _LOADS]
+        for method, label in _METHOD_LABELS.items():
+            values = [figures[f"load_{load}_{method}"][metric] for load in _LOADS]
             axis.plot(_LOADS, values, marker="o", label=label)
         axis.set_yscale("log")
         axis.set_xlabel("load (%)")
@@ -43,12 +43,14 @@
 def plot_worst_served(figures: Figures, path: Path) -> None:
     """Plot the fraction answered in time of the worst-served customer."""
     _, axis = plt.subplots(figsize=(6, 4))
-    for offset, way, label in (
+    for offset, discipline, label in (
         (-0.2, "fifo", "one queue"),
         (0.2, "home", "fair queue"),
     ):
         positions = [position + offset for position in range(len(_CASES))]
-        values = [figures[f"{case}_{way}"]["worst_share_in_time"] for case in _CASES]
+        values = [
+            figures[f"{case}_{discipline}"]["worst_share_in_time"] for case in _CASES
+        ]
         bars = axis.bar(positions, values, 0.4, label=label)
         axis.bar_label(bars, fmt="%.3f")
     axis.set_xticks(range(len(_CASES)), list(_CASES.values()))
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,8 +1,9 @@
-"""Measure refusals within rate by the number of entries that a customer uses.
+"""Measure refusals of requests within rate by the number of entries in use.
 
 Run ``python -m benchmarks.shares --output FILE``; all time is virtual, and figures do
-not depend on the machine. Three ways are compared: a single token bucket per customer,
-fixed fractions without loans, and conserved shares.
+not depend on the machine. Three ways to enforce a rate are compared: a single token
+bucket per customer, fixed fractions without loans, and the real shares, whose holders
+lend each other tokens so that the sum of the shares is conserved.
 """
 
 import argparse
@@ -81,7 +82,7 @@
 
 
 def check() -> list[str]:
-    """Return the figures that exceed the committed bounds; takes less than 20 s."""
+    """Return the figures that exceed the committed bounds."""
     bounds = json.loads(BOUNDS_PATH.read_text())
     findings = []
     for name, bound in bounds["refused_within_rate_per_1000"].items():
--- a/benchmarks/shares_fleet.py
+++ b/benchmarks/shares_fleet.py
@@ -106,7 +106,7 @@
 
     @property
     def net_per_mille(self) -> float:
-        """Return by how many per 1,000 one ideal bucket admits more requests."""
+        """Return how many more requests per 1,000 one ideal bucket admits."""
         return 1000.0 * (self.within - self.spent) / max(1, self.within)
 
     @property
@@ -122,7 +122,7 @@
 
 
 class IdealBucket:
-    """Admit what one token bucket that sees all requests admits."""
+    """Admit what a single token bucket for all requests admits."""
 
     def __init__(self, customer: Customer, fraction: float = 1.0) -> None:
         self._rate_per_ms = fraction * customer.rate_per_s / 1000.0
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True)
 class LoanRequest:
-    """Request a loan of tokens on behalf of one request of a customer."""
+    """Hold a request for a loan of tokens, on behalf of one request of a customer."""
 
     entry: MemberId
     lender: MemberId
@@ -393,7 +393,7 @@
         self.result = Result()
 
     def arrive(self, now_ms: float, entry: int) -> None:
-        """Process the arrival of a request; the last entry has the single bucket."""
+        """Process the arrival of a request; the last node has the single bucket."""
         is_within = self._ideal.admits(now_ms)
         self.result.requests += 1
         self.result.within += is_within
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,4 +1,4 @@
-"""Measure requests per second and added latency over both hops, on real processes.
+"""Measure requests per second and added latency through a fleet of real processes.
 
 Noise of the machine affects all figures. Direct calls and calls through the fleet
 alternate in one run, and only their ratio and difference are comparable.
@@ -26,7 +26,11 @@
 
 @dataclass(frozen=True)
 class Point:
-    """Hold the figures of one way to call the service, at one number of callers."""
+    """Hold the figures of one way to call the service, at one number of callers.
+
+    ``way`` is a direct call, a call through an entry that is the group coordinator, or
+    one through another entry, with a hop to the coordinator and a hop to the target.
+    """
 
     way: str
     callers: int
@@ -133,7 +137,7 @@
 
 
 def main(seconds: float = 5.0, output: str = "") -> None:
-    """Print latencies for 1, 4 and 16 callers, direct and through the fleet."""
+    """Print request rates and latencies of 1, 4 and 16 callers, by way to call."""
     points = asyncio.run(_run((1, 4, 16), seconds))
     for point in points:
         print(json.dumps(asdict(point)), flush=True)
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -281,7 +281,7 @@
     def _cancel(self, attempt: AttemptId) -> None:
         sent = self._sent.pop(attempt, None)
         if sent is None:
-            return  # the attempt has ended and its report is scheduled
+            return  # already cancelled; its end is scheduled
         if sent.work is not None:
             sent.target.cancel(sent.work)
         self._loop.after(0.0, lambda: self._ended(attempt, sent, AttemptEnd.SILENT))
@@ -336,7 +336,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Describe the Poisson arrivals of one customer."""
+    """Describe the Poisson arrivals of one customer.
+
+    ``patience_ms`` is the time from the arrival of a request to its deadline.
+    """
 
     customer: CustomerId
     rate_per_s: float
