--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -139,7 +139,7 @@
     ticket = await fleet.ticket(
         fleet.nodes[0], customers={f"customer-{number}": customer}
     )
-    await fleet.until_in_force(ticket, fleet.nodes)
+    await fleet.until_applied(ticket, fleet.nodes)
     return (time.perf_counter() - began_s) * 1e3
 
 
--- a/benchmarks/fleet_start.py
+++ b/benchmarks/fleet_start.py
@@ -92,7 +92,7 @@
     )
 
 
-def play(large: int, small: int) -> Row:
+def measure(large: int, small: int) -> Row:
     """Return the cost of one fleet."""
     loop = VirtualLoop()
     rows: list[Row] = []
@@ -110,7 +110,7 @@
 
 def main() -> None:
     """Run all fleets and write the table."""
-    write_table(Row, [play(large, small) for large, small in FLEETS], RESULTS_PATH)
+    write_table(Row, [measure(large, small) for large, small in FLEETS], RESULTS_PATH)
 
 
 if __name__ == "__main__":
--- a/benchmarks/gray_targets.py
+++ b/benchmarks/gray_targets.py
@@ -174,7 +174,7 @@
 
 
 @dataclass
-class Outcome:
+class RunResult:
     """Hold the results of one run."""
 
     detected_ms: list[float] = field(default_factory=list)
@@ -206,7 +206,7 @@
     span_ms: float
 
 
-class Trial:
+class ServiceSimulation:
     """Simulate one service in virtual time."""
 
     def __init__(
@@ -219,9 +219,9 @@
         self._number = 0
         self._last_lost_ms = [0.0] * WINDOWS
         self._ejected_ms: dict[int, float] = {}
-        self.outcome = Outcome(span_ms=2 * WINDOW_MS * WINDOWS)
+        self.outcome = RunResult(span_ms=2 * WINDOW_MS * WINDOWS)
 
-    def run(self) -> Outcome:
+    def run(self) -> RunResult:
         """Run all windows and return the results."""
         at_ms = 0.0
         while at_ms < self.outcome.span_ms:
@@ -338,7 +338,7 @@
                 if judge == "in a row"
                 else Placers(judge == "pooled")
             )
-            outcomes.append(Trial(detector, fault, seed).run())
+            outcomes.append(ServiceSimulation(detector, fault, seed).run())
     times = sorted(time for outcome in outcomes for time in outcome.detected_ms)
     return Row(
         judge if judge != "pooled" else f"pooled {nats:g}",
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -13,12 +13,12 @@
 from typing import Any, Final
 
 from benchmarks.false_alarms import FalseAlarms, count_false_alarms
-from benchmarks.health_trial import (
+from benchmarks.health_simulation import (
     HEALTHY_ERROR_RATE,
     MEAN_WORK_MS,
     Behaviour,
     FiveErrors,
-    HealthTrial,
+    HealthSimulation,
     Watcher,
     failing,
     flapping,
@@ -99,7 +99,7 @@
 
     The simulation itself never ejects, so that all watchers evaluate the same attempts.
     """
-    simulation = HealthTrial.from_config(
+    simulation = HealthSimulation.from_config(
         group.targets,
         group.slots,
         load=LOAD,
@@ -161,7 +161,7 @@
 
 def count_group_health_alarms(threshold_nats: float, seed: int) -> tuple[int, int]:
     """Return the false ejections by ``GroupHealth``, and the requests evaluated."""
-    simulation = HealthTrial.from_config(
+    simulation = HealthSimulation.from_config(
         8, 2, load=LOAD, seed=seed, settings=settings_at(threshold_nats)
     )
     simulation.run_until(EVALUATED_MS)
@@ -172,7 +172,7 @@
     """Return failures and ejections in 2 min if one target fails 5 s of every 10 s."""
     result = {}
     for name, config in (("judged", HealthSettings()), ("never", settings_at(1e9))):
-        simulation = HealthTrial.from_config(8, 2, seed=seed, settings=config)
+        simulation = HealthSimulation.from_config(8, 2, seed=seed, settings=config)
         gray = simulation.targets[0].target
         simulation.behaviours[gray] = flapping(WARM_UP_MS, 5_000.0, failing(1.0))
         simulation.run_until(WARM_UP_MS + 120_000.0)
@@ -199,7 +199,7 @@
     for name, config in settings_by_name.items():
         costs[name] = {}
         for load, bad in product((0.3, LOAD), (1, 2, 3, 4)):
-            simulation = HealthTrial.from_config(
+            simulation = HealthSimulation.from_config(
                 8, 2, load=load, seed=seed, settings=config
             )
             for target in simulation.targets[:bad]:
--- a/benchmarks/health_trial.py
+++ b/benchmarks/health_simulation.py
@@ -147,7 +147,7 @@
 
 
 @dataclass
-class HealthTrial:
+class HealthSimulation:
     """Simulate one group that ``GroupHealth`` evaluates; record its health changes."""
 
     targets: list[Target]
@@ -173,7 +173,7 @@
         seed: int = 0,
         floor_fraction: float = 0.5,
         settings: HealthSettings | None = None,
-    ) -> "HealthTrial":
+    ) -> "HealthSimulation":
         """Return the simulation of one group; ``load`` is a fraction of its slots."""
         group_health = GroupHealth.from_config(
             settings or HealthSettings(), floor_fraction
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -17,10 +17,10 @@
 
 import fire
 
-from benchmarks.placing_trial import (
+from benchmarks.placing_simulation import (
     BadPaths,
     Gray,
-    PlacingTrial,
+    PlacingSimulation,
     RouteLoad,
     ServiceScenario,
 )
@@ -101,10 +101,10 @@
     far: float
 
 
-def play(load: str, without: str, seed: int) -> tuple[float, ...]:
+def run_case(load: str, without: str, seed: int) -> tuple[float, ...]:
     """Return the figures of ``Row`` for one run, in order and without the error."""
     policies = Policies.from_names(without)
-    tallies = PlacingTrial(LOADS[load], seed, policies=policies).run().values()
+    tallies = PlacingSimulation(LOADS[load], seed, policies=policies).run().values()
     request_count = sum(tally.request_count for tally in tallies)
     attempts_sent = sum(tally.attempts_sent for tally in tallies)
     return (
@@ -123,7 +123,7 @@
     cases = list(cases)
     arguments = [(*case, seed) for case in cases for seed in range(seeds)]
     with ProcessPoolExecutor(PROCESSES) as pool:
-        figures = list(pool.map(play, *zip(*arguments, strict=True)))
+        figures = list(pool.map(run_case, *zip(*arguments, strict=True)))
     result_rows = []
     for number, (load, without) in enumerate(cases):
         runs = figures[number * seeds : (number + 1) * seeds]
--- a/benchmarks/placing_trial.py
+++ b/benchmarks/placing_simulation.py
@@ -203,7 +203,7 @@
         return (entry, target) in self._bad and sample < paths.loss_fraction
 
 
-class PlacingTrial:
+class PlacingSimulation:
     """Simulate one service under one load with one seed.
 
     With ``oracle``, each placement request excludes the targets that are gray at the
--- a/benchmarks/shares_fleet.py
+++ b/benchmarks/shares_fleet.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Final
 
-from crocusspindle.core.holders import ViewMember
+from crocusspindle.core.holders import HolderCandidate
 from crocusspindle.core.loans import (
     MAX_GATHERS,
     Borrow,
@@ -179,7 +179,7 @@
     def __init__(self, case: Case) -> None:
         self.customer = CUSTOMERS[case.customer]
         self.members = [
-            ViewMember(MemberId(f"n{number}"), DomainId(f"d{number % DOMAINS}"))
+            HolderCandidate(MemberId(f"n{number}"), DomainId(f"d{number % DOMAINS}"))
             for number in range(NODES)
         ]
         self.ledgers: dict[MemberId, ShareLedger] = {}
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -52,7 +52,7 @@
         "owner",
         approvals={SERVICE: {"load": {"approved_by": "owner"}}},
     )
-    await fleet.until_in_force(ticket, fleet.nodes)
+    await fleet.until_applied(ticket, fleet.nodes)
     while any(
         [(await fleet.status(node))["shares"]["waiting"] for node in fleet.nodes]
     ):
--- a/src/crocusspindle/core/ejection.py
+++ b/src/crocusspindle/core/ejection.py
@@ -51,7 +51,7 @@
         """Return the live targets in service."""
         return [record for record in self.live() if record.state in IN_SERVICE]
 
-    def removed(self) -> list[TargetRecord]:
+    def out_of_service(self) -> list[TargetRecord]:
         """Return the live targets out of service, the least bad first."""
         ejected = [record for record in self.live() if record.state not in IN_SERVICE]
         return sorted(ejected, key=lambda record: record.loss)
@@ -62,7 +62,9 @@
         removable_slots = (1.0 - self._floor_fraction) * total_slots
         # Round down, but tolerate floating-point error as in (1 - 0.8) * 10.
         limit_slots = int(removable_slots / self._coordinators_at_once + 1e-9)
-        return limit_slots - sum(record.target.slots for record in self.removed())
+        return limit_slots - sum(
+            record.target.slots for record in self.out_of_service()
+        )
 
     def has_room(self, record: TargetRecord) -> bool:
         """Return True if a target in service may be ejected."""
@@ -75,7 +77,7 @@
     ) -> TargetRecord | None:
         """Return an ejected target to serve instead whose loss is lower by a margin."""
         missing_slots = record.target.slots - self.spare_slots()
-        for other in self.removed():
+        for other in self.out_of_service():
             if other.loss + LOSS_MARGIN > loss:
                 return None
             if other.target.slots >= missing_slots:
--- a/src/crocusspindle/core/health.py
+++ b/src/crocusspindle/core/health.py
@@ -317,7 +317,7 @@
         Needed when targets leave the list while others are ejected.
         """
         changes: list[HealthChange] = []
-        for record in self._budget.removed():
+        for record in self._budget.out_of_service():
             if self._budget.spare_slots() >= 0:
                 break
             changes.append(record.keep_in_service(now_ms))
@@ -329,7 +329,7 @@
         One target at a time, since targets that failed together could otherwise return
         and fail together.
         """
-        ejected = self._budget.removed()
+        ejected = self._budget.out_of_service()
         if any(record.state is HealthState.PROBATION for record in ejected):
             return []
         due = [record for record in ejected if record.until_ms <= now_ms]
--- a/src/crocusspindle/core/holder_cache.py
+++ b/src/crocusspindle/core/holder_cache.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from crocusspindle.core.holders import HolderSelector, ViewMember, holder_count
+from crocusspindle.core.holders import HolderCandidate, HolderSelector, holder_count
 from crocusspindle.core.model import Customer
 from crocusspindle.core.rendezvous import score
 from crocusspindle.ids import CustomerId, DomainId, MemberId
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    joined: tuple[ViewMember, ...]
+    joined: tuple[HolderCandidate, ...]
     left: frozenset[MemberId]
     same_domains: bool
 
@@ -32,7 +32,7 @@
     """Find the holders of customers in the newest view."""
 
     def __init__(self) -> None:
-        self._members: frozenset[ViewMember] = frozenset()
+        self._members: frozenset[HolderCandidate] = frozenset()
         self._domain_of: dict[MemberId, DomainId] = {}
         self._selector = HolderSelector(())
         self._domain_count = 0
@@ -41,7 +41,7 @@
         self._cached: dict[CustomerId, tuple[int, int, tuple[MemberId, ...]]] = {}
 
     def install(
-        self, members: tuple[ViewMember, ...], selector: HolderSelector
+        self, members: tuple[HolderCandidate, ...], selector: HolderSelector
     ) -> None:
         """Apply the members of a newer view."""
         members_now = frozenset(members)
--- a/src/crocusspindle/core/holders.py
+++ b/src/crocusspindle/core/holders.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ViewMember:
+class HolderCandidate:
     """Identify one member of a view and its failure domain."""
 
     member: MemberId
@@ -55,7 +55,7 @@
 class HolderSelector:
     """Find holders among the members of one view."""
 
-    def __init__(self, members: Iterable[ViewMember]) -> None:
+    def __init__(self, members: Iterable[HolderCandidate]) -> None:
         self._by_domain: dict[DomainId, list[MemberId]] = {}
         self.size = 0
         for member in members:
@@ -97,7 +97,7 @@
     customer: CustomerId,
     rate_per_s: float,
     burst: int,
-    members: Sequence[ViewMember],
+    members: Sequence[HolderCandidate],
 ) -> tuple[MemberId, ...]:
     """Return the holders of a customer's equal shares."""
     return HolderSelector(members).holders(customer, holder_count(rate_per_s, burst))
--- a/src/crocusspindle/core/local_shares.py
+++ b/src/crocusspindle/core/local_shares.py
@@ -7,7 +7,7 @@
 
 from crocusspindle.core.bucket import ShareBucket
 from crocusspindle.core.holder_cache import HolderCache
-from crocusspindle.core.holders import HolderSelector, ViewMember, holder_count
+from crocusspindle.core.holders import HolderCandidate, HolderSelector, holder_count
 from crocusspindle.core.loans import MAX_GRACE_MS
 from crocusspindle.core.model import Customer
 from crocusspindle.ids import CustomerId, MemberId, ViewNumber
@@ -42,7 +42,7 @@
 @dataclass(slots=True)
 class _View:
     number: ViewNumber
-    members: tuple[ViewMember, ...]
+    members: tuple[HolderCandidate, ...]
     selector: HolderSelector
     opens_at_ms: float = float("inf")
 
@@ -167,7 +167,7 @@
         self._local_shares[customer.customer] = local_share
 
     def set_view(
-        self, view_number: ViewNumber, members: Sequence[ViewMember], now_ms: float
+        self, view_number: ViewNumber, members: Sequence[HolderCandidate], now_ms: float
     ) -> None:
         """Apply the next member view; ignore an older one.
 
--- a/src/crocusspindle/core/quota_keeper.py
+++ b/src/crocusspindle/core/quota_keeper.py
@@ -142,7 +142,7 @@
                 account.close()
                 account.barred_to_view = max(account.barred_to_view, view_number)
 
-    def expired_keys(self, now_ms: float) -> set[ViewEntryKey]:
+    def expired_entry_keys(self, now_ms: float) -> set[ViewEntryKey]:
         """Return the keys of fenced entries whose confirmations expired everywhere."""
         return {
             key
@@ -176,7 +176,7 @@
             tenure = self._history.last_tenure(customer, account.barred_to_view)
             account.successor_since_ms = now_ms if tenure is None else tenure.since_ms
             account.tokens = 0.0
-        done = account.released_at_ms.keys() | self.expired_keys(now_ms)
+        done = account.released_at_ms.keys() | self.expired_entry_keys(now_ms)
         waiting = [entry for entry in rank.removed_members if entry.key not in done]
         timed_out = now_ms - account.successor_since_ms > self._fence_ms
         previous_released = timed_out or not math.isnan(account.previous_released_ms)
--- a/src/crocusspindle/core/rate_limit.py
+++ b/src/crocusspindle/core/rate_limit.py
@@ -10,7 +10,7 @@
 """Requests missed in a pause up to this length may follow as a burst; otherwise part of
 the rate would be lost where requests arrive unevenly."""
 
-MIN_PER_S: Final = 0.1
+MIN_LIMIT_PER_S: Final = 0.1
 """Lowest limit applied: a target that reports a limit of 0 still gets requests at this
 rate, so that a changed limit is noticed."""
 
@@ -67,7 +67,7 @@
             return self._apply_missing_limit(report)
         if report.sent_ms < self._request_sent_ms:
             return False
-        per_ms = max(MIN_PER_S, report.limit_per_s) / 1e3
+        per_ms = max(MIN_LIMIT_PER_S, report.limit_per_s) / 1e3
         self._request_sent_ms = report.sent_ms
         self._response_ms = now_ms
         self._responses_without_limit = 0
--- a/src/crocusspindle/core/retry_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -23,7 +23,7 @@
 SLICES_PER_WINDOW: Final = 20
 """Time slices of a window in the counts that placers publish to one another."""
 
-KNOWN_PREDECESSOR_MS: Final = 1_500.0
+MAX_RECORD_AGE_MS: Final = 1_500.0
 """Maximum age of the last records received for them to still cover the retries of the
 predecessor."""
 
@@ -70,7 +70,7 @@
         A placer that moves up may lack the counts of its predecessor's retries, unless
         it has received them just before.
         """
-        if rank < self._rank and now_ms - self._received_ms > KNOWN_PREDECESSOR_MS:
+        if rank < self._rank and now_ms - self._received_ms > MAX_RECORD_AGE_MS:
             self._since_ms = now_ms
         self._rank = rank
 
--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -30,7 +30,7 @@
 from typing import Final
 
 from crocusspindle.core.bucket import ShareBucket
-from crocusspindle.core.holders import ViewMember
+from crocusspindle.core.holders import HolderCandidate
 from crocusspindle.core.lenders import Lenders, OtherHolders
 from crocusspindle.core.loans import (
     MAX_GRACE_MS,
@@ -122,7 +122,7 @@
         self._shares.remove_limit(customer, now_ms)
 
     def set_view(
-        self, view_number: ViewNumber, members: Sequence[ViewMember], now_ms: float
+        self, view_number: ViewNumber, members: Sequence[HolderCandidate], now_ms: float
     ) -> None:
         """Apply the next member view; see `LocalShares.set_view`."""
         self._shares.set_view(view_number, members, now_ms)
--- a/src/crocusspindle/core/view.py
+++ b/src/crocusspindle/core/view.py
@@ -82,13 +82,13 @@
 def next_view(
     view: View | None,
     present: Mapping[HostId, NodeAddress],
-    expired_keys: Collection[ViewEntryKey] = (),
+    expired_entry_keys: Collection[ViewEntryKey] = (),
 ) -> View:
     """Return the view in which exactly the present nodes are members.
 
-    An absent member is fenced until its key is in ``expired_keys``: from then on it
-    certainly no longer acts as a member. A host that is present under a new incarnation
-    needs no fence for the previous one, whose process has ended.
+    An absent member is fenced until its key is in ``expired_entry_keys``: from then on
+    it certainly no longer acts as a member. A host that is present under a new
+    incarnation needs no fence for the previous one, whose process has ended.
     """
     previous_members = () if view is None else view.entries
     previous_entries = () if view is None else (*view.entries, *view.fenced)
@@ -101,7 +101,7 @@
     fenced = tuple(
         entry
         for entry in previous_entries
-        if entry.node.host not in present and entry.key not in expired_keys
+        if entry.node.host not in present and entry.key not in expired_entry_keys
     )
     entries = tuple(
         kept.get(host) or ViewEntry(present[host], number) for host in sorted(present)
--- a/src/crocusspindle/gateway/assembly.py
+++ b/src/crocusspindle/gateway/assembly.py
@@ -76,7 +76,7 @@
         exchange,
         fleet_state,
         platform_reader,
-        quota.expired_keys,
+        quota.expired_entry_keys,
         reader_choice,
         document_limiter,
         rng,
--- a/src/crocusspindle/gateway/fleet_state.py
+++ b/src/crocusspindle/gateway/fleet_state.py
@@ -28,7 +28,7 @@
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
 
-FIRST_READ_MS: Final = 1_000.0
+FIRST_READ_TIMEOUT_MS: Final = 1_000.0
 """How long after the start requests wait for the first configuration and the first list
 of targets instead of being refused. The configuration is read within 0.1 to 0.3 s;
 after this time the platform is unreachable, possibly for long."""
@@ -108,7 +108,7 @@
         await self._wait_for_first(self._listed)
 
     async def _wait_for_first(self, available: asyncio.Event) -> None:
-        left_ms = self.started_ms + FIRST_READ_MS - now_ms()
+        left_ms = self.started_ms + FIRST_READ_TIMEOUT_MS - now_ms()
         if left_ms > 0 and not available.is_set():
             with suppress(TimeoutError):
                 await asyncio.wait_for(available.wait(), left_ms / 1e3)
--- a/src/crocusspindle/gateway/membership.py
+++ b/src/crocusspindle/gateway/membership.py
@@ -49,7 +49,7 @@
 from crocusspindle.log_lines import Logger, log_state_change
 
 PING_INTERVAL_S: Final = 0.5
-FIRST_READS_MS: Final = 250.0
+IDLE_READER_START_MS: Final = 250.0
 """A reader that was idle has its first responses from the store within this."""
 
 QUERIED_PEERS: Final = 6
@@ -90,7 +90,7 @@
         exchange: Exchange,
         fleet_state: FleetState,
         platform_reader: PlatformReader,
-        expired_keys: Callable[[], set[ViewEntryKey]],
+        expired_entry_keys: Callable[[], set[ViewEntryKey]],
         reader_choice: ReaderChoice,
         document_limiter: ByteRateLimiter,
         rng: random.Random,
@@ -106,7 +106,7 @@
             node, fleet_state, platform_reader, rng, self.spawn
         )
         self._view_keeper = ViewKeeper(
-            node, exchange, fleet_state, platform_reader, expired_keys
+            node, exchange, fleet_state, platform_reader, expired_entry_keys
         )
         self._log = Logger("membership")
         self._known_nodes: dict[HostId, NodeAddress] = {node.host: node}
@@ -328,7 +328,7 @@
     async def _wait_for_first_reads(self) -> None:
         # After an idle period, all pings wait for the first responses of the store.
         # Otherwise nodes would move on to the next reader, which was idle as well.
-        deadline_ms = self._platform_reader.active_since_ms + FIRST_READS_MS
+        deadline_ms = self._platform_reader.active_since_ms + IDLE_READER_START_MS
         while now_ms() < deadline_ms:
             age_ms = self._fleet_state.configuration.age_ms(now_ms())
             if age_ms < STALE_STATE_MS:
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -83,9 +83,9 @@
         self._exchange.handle(ReleaseAsk, self._release_ask)
         self._fleet_state.add_listener(self._apply_fleet_state)
 
-    def expired_keys(self) -> set[ViewEntryKey]:
+    def expired_entry_keys(self) -> set[ViewEntryKey]:
         """Return the keys of fenced view entries whose confirmations have expired."""
-        return self._keeper.expired_keys(now_ms())
+        return self._keeper.expired_entry_keys(now_ms())
 
     def _apply_fleet_state(self) -> None:
         view = self._fleet_state.view
--- a/src/crocusspindle/gateway/view_keeper.py
+++ b/src/crocusspindle/gateway/view_keeper.py
@@ -44,7 +44,7 @@
 """A response with full documents may take this long on a narrow link. A peer with such
 a backlog reports meanwhile that it is busy."""
 
-Present = Mapping[HostId, NodeAddress]
+NodesByHost = Mapping[HostId, NodeAddress]
 
 
 class ViewKeeper:
@@ -56,13 +56,13 @@
         exchange: Exchange,
         fleet_state: FleetState,
         platform_reader: PlatformReader,
-        expired_keys: Callable[[], set[ViewEntryKey]],
+        expired_entry_keys: Callable[[], set[ViewEntryKey]],
     ) -> None:
         self._node = node
         self._exchange = exchange
         self._fleet_state = fleet_state
         self._platform_reader = platform_reader
-        self._expired_keys = expired_keys
+        self._expired_entry_keys = expired_entry_keys
         self._last_number = -1
         self._changed_at_ms = now_ms()
 
@@ -72,7 +72,7 @@
             self._last_number = self._fleet_state.view.version
             self._changed_at_ms = now_ms()
 
-    async def renew(self, pinged: Present) -> None:
+    async def renew(self, pinged: NodesByHost) -> None:
         """Write a view of the nodes that are present, given those with recent pings."""
         active_ms = now_ms() - self._platform_reader.active_since_ms
         view_state = self._fleet_state.view
@@ -83,7 +83,7 @@
         if not self._is_writer(view, present):
             return
         if view is not None:
-            silent: Present = {
+            silent: NodesByHost = {
                 host: entry.node
                 for host, entry in view.by_host.items()
                 if host not in present
@@ -98,7 +98,7 @@
         if not members_changed(view, present):
             return
         if await self._platform_reader.write_view(
-            next_view(view, present, self._expired_keys())
+            next_view(view, present, self._expired_entry_keys())
         ):
             self._fleet_state.notify()
 
@@ -113,7 +113,7 @@
             if self._platform_reader.row_versions[host] > written
         }
 
-    def _is_writer(self, view: View | None, present: Present) -> bool:
+    def _is_writer(self, view: View | None, present: NodesByHost) -> bool:
         # Nodes ping members only. If a host that is no member ranked first, it would
         # never write a view, and customers of ended processes would have no quota
         # keeper.
@@ -122,7 +122,9 @@
         ranked = rank_by_capacity(READER_ROLE, eligible or present.values())
         return bool(ranked) and ranked[0] == self._node.host
 
-    def _has_few_pings(self, view: View, present: Present, active_ms: float) -> bool:
+    def _has_few_pings(
+        self, view: View, present: NodesByHost, active_ms: float
+    ) -> bool:
         """Return True if too few members ping this node for it to change the members.
 
         A node cut off from its peers gets no pings and would remove all members, while
@@ -137,7 +139,7 @@
         unchanged_ms = now_ms() - self._changed_at_ms
         return min(active_ms, unchanged_ms) < REMOVE_MAJORITY_AFTER_MS
 
-    async def _probe_silent(self, silent: Present, active_ms: float) -> Present:
+    async def _probe_silent(self, silent: NodesByHost, active_ms: float) -> NodesByHost:
         """Return the members that sent no ping but respond to a probe.
 
         A new reader sends no probes and returns all of them.
--- a/src/crocusspindle/services/control.py
+++ b/src/crocusspindle/services/control.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class Change:
+class AppliedTicket:
     """Describe what one applied ticket changed, for the callbacks of ``watch``."""
 
     ticket: Ticket
@@ -93,7 +93,7 @@
         self._tail: dict[TicketNumber, bytes] = {}
         self._was_eligible = False
         self._is_platform_failing = False
-        self._on_change: list[Callable[[Change], None]] = []
+        self._on_change: list[Callable[[AppliedTicket], None]] = []
         self._on_view: list[Callable[[MemberView], None]] = []
         self._on_targets: list[Callable[[], None]] = []
         self._on_newer_peer: Callable[[MemberId], None] = lambda member: None
@@ -102,7 +102,7 @@
 
     def watch(
         self,
-        change: Callable[[Change], None] | None = None,
+        change: Callable[[AppliedTicket], None] | None = None,
         view: Callable[[MemberView], None] | None = None,
         targets: Callable[[], None] | None = None,
         newer_peer: Callable[[MemberId], None] | None = None,
@@ -336,7 +336,7 @@
             self.directory.customer(customer.customer)
             for customer in ticket.set.customers
         ]
-        change = Change(
+        change = AppliedTicket(
             ticket,
             withdrawn=tuple(
                 key.digest for key in ticket.set.keys if key.state is KeyState.WITHDRAWN
--- a/src/crocusspindle/services/coordinator.py
+++ b/src/crocusspindle/services/coordinator.py
@@ -30,7 +30,7 @@
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
 from crocusspindle.metrics import Metrics
-from crocusspindle.services.control import Change, ControlService
+from crocusspindle.services.control import AppliedTicket, ControlService
 from crocusspindle.services.group_meter import GroupMeter
 from crocusspindle.services.group_runner import GroupRunner
 from crocusspindle.services.handed_over_request import (
@@ -236,7 +236,7 @@
         for group, runner in self._runners.items():
             runner.set_targets(self._targets_of(group))
 
-    def _apply_change(self, change: Change) -> None:
+    def _apply_change(self, change: AppliedTicket) -> None:
         # A request may be queued up to its deadline, and its key withdrawn meanwhile.
         for runner in self._runners.values():
             for digest in change.withdrawn:
--- a/src/crocusspindle/services/rates.py
+++ b/src/crocusspindle/services/rates.py
@@ -5,8 +5,8 @@
 
 from crocusspindle import instruments
 from crocusspindle.clock import now_ms
+from crocusspindle.core.holders import HolderCandidate as Holder
 from crocusspindle.core.holders import HolderSelector, holder_count
-from crocusspindle.core.holders import ViewMember as Holder
 from crocusspindle.core.lenders import MIN_REFUSAL_BACKOFF_MS
 from crocusspindle.core.loans import (
     MAX_GATHERS,
@@ -25,7 +25,7 @@
 from crocusspindle.ids import CustomerId, MemberId
 from crocusspindle.kernel import Service
 from crocusspindle.metrics import Metrics
-from crocusspindle.services.control import Change, ControlService
+from crocusspindle.services.control import AppliedTicket, ControlService
 from crocusspindle.services.peers import PEER_FAILURES, Peers
 from crocusspindle.settings_schema import TimingSettings
 from crocusspindle.wire import fleet_pb2 as wire
@@ -188,7 +188,7 @@
             grace_ms=reply.grace_ms,
         )
 
-    def _apply_change(self, change: Change) -> None:
+    def _apply_change(self, change: AppliedTicket) -> None:
         now = now_ms()
         for customer in change.ticket.set.customers:
             previous_limit = change.previous_customers.get(customer.customer)
--- a/src/crocusspindle_standins/demo.py
+++ b/src/crocusspindle_standins/demo.py
@@ -132,7 +132,7 @@
             "owner",
             approvals={service: dict.fromkeys(names, approved) for service in services},
         )
-        await fleet.until_in_force(number, fleet.nodes)
+        await fleet.until_applied(number, fleet.nodes)
         self.print_line(f"tickets 1 to {number} are in force on every node")
         await self._until_shares_open()
 
--- a/src/crocusspindle_standins/fleet.py
+++ b/src/crocusspindle_standins/fleet.py
@@ -349,7 +349,7 @@
             if response.status >= HTTPStatus.BAD_REQUEST:
                 raise RuntimeError(f"{response.status}: {await response.text()}")
 
-    async def until_in_force(self, number: int, nodes: Iterable[Node]) -> None:
+    async def until_applied(self, number: int, nodes: Iterable[Node]) -> None:
         """Wait until the nodes have applied a ticket."""
         async with asyncio.timeout(CONVERGENCE_TIMEOUT_S):
             for node in nodes:
--- a/tests/core/ledger_simulation.py
+++ b/tests/core/ledger_simulation.py
@@ -39,7 +39,7 @@
 
     fleet: Fleet
     rows: dict[str, tuple[int, bytes]] = field(default_factory=dict)
-    marks: set[tuple[ViewNumber, MemberId]] = field(default_factory=set)
+    flush_marks: set[tuple[ViewNumber, MemberId]] = field(default_factory=set)
     delayed_messages: list[Callable[[], None]] = field(default_factory=list)
     paused_steps: list[Callable[[], None]] = field(default_factory=list)
     runs: dict[OperationName, int] = field(default_factory=dict)
@@ -228,7 +228,7 @@
         if not node.ledger.flush() and node.view is not None:
             for number in self.fleet.views:
                 if number < node.view.number:
-                    self.marks.add((number, node.own_member.member))
+                    self.flush_marks.add((number, node.own_member.member))
 
     def load(self, node: Node) -> None:
         now_ms, view = self.fleet.now(node), node.view
@@ -243,5 +243,5 @@
 
     def publish_flush_marks(self) -> None:
         for node in self.fleet.awake():
-            for view, member in self.marks:
+            for view, member in self.flush_marks:
                 node.ledger.holder_history.record_outage_flush(view, member)
--- a/tests/core/shares_simulation.py
+++ b/tests/core/shares_simulation.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from crocusspindle.core.holders import ViewMember
+from crocusspindle.core.holders import HolderCandidate
 from crocusspindle.core.loans import Borrow, Loan, Spent
 from crocusspindle.core.local_shares import ShareSettings
 from crocusspindle.core.model import Customer
@@ -33,9 +33,9 @@
 
 @dataclass
 class Node:
-    member: ViewMember
+    member: HolderCandidate
     ledger: ShareLedger
-    clock: float
+    clock_rate: float
     offset_ms: float
     view: int = 0
     ticket: int = 0
@@ -47,7 +47,7 @@
     isolated: bool = False
 
     def now_ms(self, true_ms: float) -> float:
-        return self.offset_ms + true_ms * self.clock
+        return self.offset_ms + true_ms * self.clock_rate
 
 
 @dataclass
@@ -72,7 +72,7 @@
         self.true_ms = 0.0
         self.platform_up = True
         self.nodes: dict[str, Node] = {}
-        self.views: list[tuple[ViewMember, ...]] = [()]
+        self.views: list[tuple[HolderCandidate, ...]] = [()]
         self.tickets: list[Customer] = list(CUSTOMERS)
         self.accepted_ms = [0.0] * len(CUSTOMERS)
         self.in_force_ms = [0.0] * len(CUSTOMERS)
@@ -87,11 +87,11 @@
 
     def start(self) -> Node:
         number = len(self.nodes)
-        member = ViewMember(MemberId(f"n{number}"), DomainId(f"d{number % 3}"))
+        member = HolderCandidate(MemberId(f"n{number}"), DomainId(f"d{number % 3}"))
         settings = ShareSettings(self.faults.ledger_lease_ms, DRIFT)
         ledger = ShareLedger.from_config(settings, member.member)
-        clock = self.rng.choice([1 - DRIFT, 1.0, 1 + DRIFT])
-        node = Node(member, ledger, clock, self.rng.uniform(0.0, 1e6))
+        clock_rate = self.rng.choice([1 - DRIFT, 1.0, 1 + DRIFT])
+        node = Node(member, ledger, clock_rate, self.rng.uniform(0.0, 1e6))
         self.nodes[member.member] = node
         return node
 
@@ -135,7 +135,9 @@
                 node.ledger.activate(ViewNumber(node.view), now_ms)
             node.activated = node.view
 
-    def _majority_adopted(self, node: Node, members: tuple[ViewMember, ...]) -> bool:
+    def _majority_adopted(
+        self, node: Node, members: tuple[HolderCandidate, ...]
+    ) -> bool:
         adopted = [node.seen_views.get(each.member, 0) >= node.view for each in members]
         return 2 * sum(adopted) > len(members)
 
@@ -154,7 +156,7 @@
             until_ms = max(until_ms, echoes[len(members) // 2] + LEASE_MS)
         return until_ms
 
-    def change_view(self, removed: ViewMember) -> None:
+    def change_view(self, removed: HolderCandidate) -> None:
         """Replace a member that is lost, or only suspected to be."""
         if self.platform_up:
             added = self.start()
--- a/tests/core/test_any_service.py
+++ b/tests/core/test_any_service.py
@@ -10,7 +10,12 @@
 
 import pytest
 
-from benchmarks.placing_trial import Gray, PlacingTrial, RouteLoad, ServiceScenario
+from benchmarks.placing_simulation import (
+    Gray,
+    PlacingSimulation,
+    RouteLoad,
+    ServiceScenario,
+)
 from crocusspindle.core.target_tracker import AttemptOutcome
 
 SERVICES = 24
@@ -82,8 +87,8 @@
     use.
     """
     scenario = random_scenario(seed)
-    tallies = PlacingTrial(scenario, seed).run()
-    oracle = PlacingTrial(scenario, seed, oracle=True).run()
+    tallies = PlacingSimulation(scenario, seed).run()
+    oracle = PlacingSimulation(scenario, seed, oracle=True).run()
     # A gray failure costs a request for each slot of its target, and again when an
     # ejection ends. Three for each slot are allowed, and at most a tenth of all
     # requests.
--- a/tests/core/test_crash_table.py
+++ b/tests/core/test_crash_table.py
@@ -139,7 +139,7 @@
     assert POISON not in table and BYSTANDERS[0] in table
 
 
-def test_the_shared_records_fit_into_a_datagram(table):
+def test_only_the_newest_records_are_shared(table):
     records = [
         CrashRecord(
             ContentDigest(f"{number}"),
--- a/tests/core/test_group_coordinator_machine.py
+++ b/tests/core/test_group_coordinator_machine.py
@@ -173,7 +173,7 @@
             self.fake_weights.trials.add(target)
 
     @invariant()
-    def a_slot_is_held_by_what_runs(self):
+    def every_running_attempt_holds_a_slot(self):
         # Cancelled attempts free their slots within a second.
         surely_running = len(self.running) - len(self.cancelled)
         assert surely_running <= self.coordinator.load().running <= len(self.running)
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from benchmarks.health_trial import (
+from benchmarks.health_simulation import (
     Behaviour,
-    HealthTrial,
+    HealthSimulation,
     failing,
     flapping,
     healthy,
@@ -30,8 +30,8 @@
 
 def run_trial(
     bad: Behaviour, bad_targets: int = 1, seed: int = 1, reached: bool = False
-) -> HealthTrial:
-    trial = HealthTrial.from_config(count=8, slots=2, seed=seed)
+) -> HealthSimulation:
+    trial = HealthSimulation.from_config(count=8, slots=2, seed=seed)
     trial.reached_elsewhere = reached
     for target in trial.targets[:bad_targets]:
         trial.behaviours[target.target] = bad
@@ -142,7 +142,7 @@
 def test_flapping_target_is_ejected_for_longer_each_time() -> None:
     # A target is alternately bad and healthy for 6 s each. After each return it fails
     # requests until it is detected again.
-    trial = HealthTrial.from_config(count=8, slots=2, seed=3)
+    trial = HealthSimulation.from_config(count=8, slots=2, seed=3)
     gray = trial.targets[0].target
     trial.behaviours[gray] = flapping(BEGIN_MS, 6_000.0, failing(1.0))
     trial.run_until(BEGIN_MS + 120_000.0)
@@ -161,7 +161,7 @@
 def test_recovered_target_returns_by_trials() -> None:
     # A target fails all work for 3 s and recovers. Its capacity must return to service
     # with few requests at risk.
-    trial = HealthTrial.from_config(count=8, slots=2, seed=4)
+    trial = HealthSimulation.from_config(count=8, slots=2, seed=4)
     gray = trial.targets[0].target
     trial.behaviours[gray] = lambda rng, now_ms: (
         failing(1.0) if BEGIN_MS <= now_ms < BEGIN_MS + 3_000.0 else healthy
@@ -174,7 +174,7 @@
 
 def test_wrong_health_check_keeps_no_target_in_service() -> None:
     # The target's health endpoint reports that it is healthy while real work fails.
-    trial = HealthTrial.from_config(count=8, slots=2, seed=5)
+    trial = HealthSimulation.from_config(count=8, slots=2, seed=5)
     gray = trial.targets[0].target
     trial.behaviours[gray] = since(BEGIN_MS, failing(0.3))
     for now_ms in range(0, 40_000, 250):
--- a/tests/core/test_health_floor.py
+++ b/tests/core/test_health_floor.py
@@ -10,7 +10,7 @@
     run_state_machine_as_test,
 )
 
-from benchmarks.health_trial import HealthTrial, failing, make_targets, since
+from benchmarks.health_simulation import HealthSimulation, failing, make_targets, since
 from crocusspindle.core.health import GroupHealth
 from crocusspindle.core.health_state import (
     EjectionWithheld,
@@ -165,12 +165,12 @@
 
 def two_partitioned_coordinators(
     coordinators_at_once: int,
-) -> tuple[float, list[HealthTrial]]:
+) -> tuple[float, list[HealthSimulation]]:
     trials = []
     ejected: set[TargetId] = set()
     for seed, bad in enumerate([slice(0, 4), slice(4, 8)]):
         config = HealthSettings(coordinators_at_once=coordinators_at_once)
-        trial = HealthTrial.from_config(8, 2, seed=seed, settings=config)
+        trial = HealthSimulation.from_config(8, 2, seed=seed, settings=config)
         for target in trial.targets[bad]:
             trial.behaviours[target.target] = since(5_000.0, failing(1.0))
         trial.run_until(9_000.0)
@@ -200,7 +200,7 @@
 def test_floor_keeps_the_least_bad_targets(rates: list[float]) -> None:
     # Nearly all targets of a group become bad to different degrees. Those that do some
     # work must keep serving, and those that do none are ejected first.
-    trial = HealthTrial.from_config(count=8, slots=2, seed=1)
+    trial = HealthSimulation.from_config(count=8, slots=2, seed=1)
     for target, rate in zip(trial.targets, rates, strict=True):
         trial.behaviours[target.target] = since(5_000.0, failing(rate))
     trial.run_until(9_900.0)
@@ -213,7 +213,7 @@
 def test_worse_targets_replace_less_bad_ejected_ones() -> None:
     # Two targets that fail some work are ejected, which uses up the floor's margin. Two
     # others then fail all work and would keep serving while the better two stay idle.
-    trial = HealthTrial.from_config(count=8, slots=2, seed=3)
+    trial = HealthSimulation.from_config(count=8, slots=2, seed=3)
     names = [target.target for target in trial.targets]
     for name, begin_ms, rate in zip(
         names, (5_000.0, 5_000.0, 8_000.0, 8_000.0), (0.3, 0.3, 1.0, 1.0), strict=False
--- a/tests/core/test_placing_cost.py
+++ b/tests/core/test_placing_cost.py
@@ -11,7 +11,12 @@
 
 import pytest
 
-from benchmarks.placing_trial import Gray, PlacingTrial, RouteLoad, ServiceScenario
+from benchmarks.placing_simulation import (
+    Gray,
+    PlacingSimulation,
+    RouteLoad,
+    ServiceScenario,
+)
 from crocusspindle.core.target_tracker import AttemptOutcome
 
 LOOKUP = RouteLoad("lookup", True, 100.0, 160.0, 0.5, 900.0, 5_500.0, priority=2)
@@ -32,7 +37,7 @@
         nonlocal calls
         calls += event in ("call", "c_call")
 
-    trial = PlacingTrial(scenario, seed=0)
+    trial = PlacingSimulation(scenario, seed=0)
     sys.setprofile(count)
     try:
         tallies = trial.run()
--- a/tests/core/test_placing_load.py
+++ b/tests/core/test_placing_load.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from benchmarks.placing_trial import (
+from benchmarks.placing_simulation import (
     BadPaths,
     Gray,
-    PlacingTrial,
+    PlacingSimulation,
     RouteLoad,
     ServiceScenario,
     Tally,
@@ -48,7 +48,7 @@
     scenario: ServiceScenario, policies: Policies = ALL_POLICIES, oracle: bool = False
 ) -> dict[str, Tally]:
     """Return the tallies of all seeds together."""
-    runs = [PlacingTrial(scenario, seed, oracle, policies).run() for seed in SEEDS]
+    runs = [PlacingSimulation(scenario, seed, oracle, policies).run() for seed in SEEDS]
     return {
         route_load.name: total_of(
             {str(n): run[route_load.name] for n, run in enumerate(runs)}
@@ -157,7 +157,7 @@
         1.0, 60_000.0, 20_000.0, 20_000.0, 1.0, AttemptOutcome.ANSWERED, slow=2.5
     )
     scenario = replace(BOOKINGS, gray=slow)
-    trial = PlacingTrial(scenario, 1)
+    trial = PlacingSimulation(scenario, 1)
     tallies = trial.run()
     for tally in tallies.values():
         assert tally.refused < 0.01 * tally.request_count
@@ -171,7 +171,7 @@
     one after the other until a third of the service idles while requests go unserved.
     """
     scenario = replace(BOOKINGS, gray=None, paths=BadPaths(0.12, 0.3))
-    trial = PlacingTrial(scenario, 1)
+    trial = PlacingSimulation(scenario, 1)
     trial.run()
     unreached = [
         change
--- a/tests/core/test_quota_keeper.py
+++ b/tests/core/test_quota_keeper.py
@@ -13,7 +13,7 @@
 from crocusspindle.core.quota_reserve import QuotaReserve
 from crocusspindle.core.view import next_view
 from crocusspindle.ids import HostId
-from tests.core.quota_simulation import (
+from tests.core.quota_fixtures import (
     CLUB,
     FENCE_MS,
     RULE,
@@ -195,7 +195,9 @@
         reachable = {h: n for h, n in nodes.items() if h not in cut}
         member_nodes = {entry.node.host: entry.node for entry in view.entries}
         if member_nodes != reachable and rng.random() < 0.1 and reachable:
-            expired = set().union(*(keepers[h].expired_keys(now_ms) for h in reachable))
+            expired = set().union(
+                *(keepers[h].expired_entry_keys(now_ms) for h in reachable)
+            )
             view = next_view(view, reachable, expired)
         for name in names:
             if name not in cut and rng.random() < 0.3:
@@ -224,7 +226,7 @@
         keepers[name].record_release(CLUB, pending.key, tokens, now_ms)
 
 
-def test_a_new_process_is_not_the_member_that_its_host_was():
+def test_a_new_process_keeps_no_customer_until_the_view_names_it():
     """A process restarts, and the view does not show it yet.
 
     The view still names the previous process, which has spent the first burst. Opening
--- a/tests/core/test_quota_opening.py
+++ b/tests/core/test_quota_opening.py
@@ -2,7 +2,7 @@
 
 from crocusspindle.core.view import next_view
 from crocusspindle.ids import HostId
-from tests.core.quota_simulation import (
+from tests.core.quota_fixtures import (
     CLUB,
     RULE,
     admitted,
--- a/tests/core/test_rate_limit.py
+++ b/tests/core/test_rate_limit.py
@@ -4,7 +4,7 @@
 
 from crocusspindle.core.listed_target import TargetIdentity
 from crocusspindle.core.rate_limit import (
-    MIN_PER_S,
+    MIN_LIMIT_PER_S,
     RESPONSES_WITHOUT_LIMIT,
     LimitReport,
     RateLimit,
@@ -94,4 +94,4 @@
 def test_a_target_with_a_limit_of_zero_is_probed():
     """Guards against a limit whose end goes unnoticed because no requests are sent."""
     times = sent_in(limited(0.0), 60_000)
-    assert len(times) == pytest.approx(60.0 * MIN_PER_S, abs=1)
+    assert len(times) == pytest.approx(60.0 * MIN_LIMIT_PER_S, abs=1)
--- a/tests/core/test_service_placer.py
+++ b/tests/core/test_service_placer.py
@@ -145,7 +145,7 @@
     assert page.target.identity == ejected
 
 
-def test_a_trial_takes_more_with_each_answer():
+def test_a_trial_admits_more_requests_with_each_answer():
     """Most targets of a service return at once, as after all hosts restarted.
 
     With one request at a time each, callers would have no free slots for seconds.
--- a/tests/core/test_shares.py
+++ b/tests/core/test_shares.py
@@ -4,8 +4,8 @@
 
 from crocusspindle.core.holder_cache import HolderCache
 from crocusspindle.core.holders import (
+    HolderCandidate,
     HolderSelector,
-    ViewMember,
     holder_count,
     holders_of,
 )
@@ -18,7 +18,7 @@
 FOREVER = float("inf")
 SETTINGS = ShareSettings(lease_ms=3_000.0, drift=0.0)
 MEMBERS = [
-    ViewMember(MemberId(f"n{number}"), DomainId(f"d{number % 3}"))
+    HolderCandidate(MemberId(f"n{number}"), DomainId(f"d{number % 3}"))
     for number in range(6)
 ]
 CLUB = Customer(CustomerId("club"), 1.0, 2)
@@ -53,7 +53,7 @@
 
 def test_holders_are_in_different_domains_and_few_change_with_a_member():
     members = [
-        ViewMember(MemberId(f"n{number}"), DomainId(f"d{number % 4}"))
+        HolderCandidate(MemberId(f"n{number}"), DomainId(f"d{number % 4}"))
         for number in range(40)
     ]
     domain_of = {each.member: each.domain for each in members}
@@ -72,7 +72,7 @@
 def test_cached_holders_equal_newly_chosen_ones():
     rng = random.Random(5)
     members = [
-        ViewMember(MemberId(f"m{number}"), DomainId(f"d{number % 4}"))
+        HolderCandidate(MemberId(f"m{number}"), DomainId(f"d{number % 4}"))
         for number in range(24)
     ]
     customers = [
@@ -83,7 +83,7 @@
     for number in range(24, 200):
         del members[rng.randrange(len(members))]
         domain = DomainId(f"d{rng.randrange(4 + (number % 40 == 0))}")
-        members.append(ViewMember(MemberId(f"m{number}"), domain))
+        members.append(HolderCandidate(MemberId(f"m{number}"), domain))
         holder_cache.install(tuple(members), HolderSelector(members))
         for each in rng.sample(customers, 20):
             expected = holders_of(each.customer, each.rate_per_s, each.burst, members)
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -150,7 +150,7 @@
                 "owner",
                 approvals={"desk": {"ward": {"approved_by": "owner"}}},
             )
-            await fleet.until_in_force(number, fleet.nodes)
+            await fleet.until_applied(number, fleet.nodes)
             session = await stack.enter_async_context(
                 single_attempt_session(
                     connector=aiohttp.TCPConnector(limit=0),
--- a/tests/fleet/test_tickets.py
+++ b/tests/fleet/test_tickets.py
@@ -38,7 +38,7 @@
         )
         assert statuses.count(200) == 1
         assert all(status in (200, 409, 503) for status in statuses)
-    await caller.fleet.until_in_force(8, caller.fleet.nodes)
+    await caller.fleet.until_applied(8, caller.fleet.nodes)
     counts = {
         (await caller.fleet.status(node))["counts"]["customers"]
         for node in caller.fleet.nodes
@@ -75,12 +75,12 @@
         caller.fleet.nodes[0],
         keys={sha256("key-of-the-caller"): {"customer": "ward", "state": "withdrawn"}},
     )
-    await caller.fleet.until_in_force(number, caller.fleet.nodes[:2])
+    await caller.fleet.until_applied(number, caller.fleet.nodes[:2])
     await asyncio.sleep(4)
     paused.running.signal(signal.SIGCONT)
     statuses = [(await caller.send(2))[0] for _ in range(20)]
     assert 200 not in statuses
-    await caller.fleet.until_in_force(number, caller.fleet.nodes)
+    await caller.fleet.until_applied(number, caller.fleet.nodes)
     for node in range(3):
         assert (await caller.send(node))[0] == 401
 
--- a/tests/gateway/test_process_start.py
+++ b/tests/gateway/test_process_start.py
@@ -14,7 +14,7 @@
 from crocusspindle.core.view import View
 from crocusspindle.gateway.crash_sharing import CrashSharing
 from crocusspindle.gateway.exchange import Exchange
-from crocusspindle.gateway.fleet_state import FIRST_READ_MS, FleetState
+from crocusspindle.gateway.fleet_state import FIRST_READ_TIMEOUT_MS, FleetState
 from crocusspindle.gateway.messages import NotMineAnswer, PlaceAsk, SpendAnswer
 from crocusspindle.gateway.placers import Placers
 from crocusspindle.gateway.placing import Placement, Placing
@@ -114,7 +114,7 @@
 async def test_wait_for_the_first_configuration_is_limited():
     """The platform is unreachable when a process starts, possibly for hours."""
     fleet_state = make_fleet_state()
-    fleet_state.started_ms = now_ms() - FIRST_READ_MS
+    fleet_state.started_ms = now_ms() - FIRST_READ_TIMEOUT_MS
     assert await asyncio.wait_for(fleet_state.first_configuration(), 0.01) is None
 
 
@@ -157,7 +157,7 @@
 
 async def test_wait_for_the_first_list_of_targets_is_limited():
     fleet_state = FleetState(parse_configuration)
-    fleet_state.started_ms = now_ms() - FIRST_READ_MS
+    fleet_state.started_ms = now_ms() - FIRST_READ_TIMEOUT_MS
     placement = await asyncio.wait_for(
         placing_alone(fleet_state).place(SERVICE, make_request()), 0.1
     )
