--- a/src/crocusspindle/core/floor_watch.py
+++ b/src/crocusspindle/core/floor_watch.py
@@ -2,8 +2,8 @@
 
 Made for a service many of whose targets were ejected within seconds. Some of them are
 healthy again, or were never gray, and the rest would carry all the work: callers would
-be refused while healthy targets idle. The floor is the share of the healthy targets
-that must get work.
+be refused while healthy targets idle. The floor is the share of the ready targets that
+suspicion must not eject, and of the healthy ones that must get work.
 """
 
 import math
--- a/src/crocusspindle/core/placement_request.py
+++ b/src/crocusspindle/core/placement_request.py
@@ -11,6 +11,9 @@
 class PlacementRequest:
     """Request a target for one attempt.
 
+    `sender` identifies the node that makes the attempt: at the node itself by its host,
+    at the placer by its IP address, since messages do not name their sender.
+
     `aim_ms` is what is left of the route's latency objective. A `hedge` is a retry
     whose first attempt still runs. A `counted` request may already be in the retry
     budget: another placer got it before and may be slow rather than lost. A `trial` is
--- a/src/crocusspindle/core/reader_choice.py
+++ b/src/crocusspindle/core/reader_choice.py
@@ -1,4 +1,4 @@
-"""Choose the reader that a node polls, and skip silent ones for a while."""
+"""Choose the reader that a node pings; skip silent or outdated ones for a while."""
 
 import math
 import random
@@ -13,7 +13,7 @@
 SUSPECT_MS: Final = 2_000.0
 SUSPECT_MAX_MS: Final = 32_000.0
 """Readers that stay silent while others respond are retried at growing intervals. With
-a retry every two seconds, polling a few silent ones that rank first would take longer
+a retry every two seconds, pinging a few silent ones that rank first would take longer
 than that, and no node would reach the one that responds."""
 
 JITTER: Final = 0.25
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class _Suspicion:
-    """Hold since when a silent process is skipped, and until when at the latest."""
+    """Hold since when a process is skipped, and until when at the latest."""
 
     incarnation: Incarnation
     length_ms: float
@@ -33,7 +33,7 @@
     """Rank the candidate readers by this node's own experience with them.
 
     Many nodes of a fleet may be too small for the role of the reader, or partitioned.
-    Without suspicions, all nodes would poll all the silent ones in turn, for ever.
+    Without suspicions, all nodes would ping all the silent ones in turn, for ever.
 
     A node that receives no response may itself be partitioned. Until one arrives, it
     tries each reader once and then all of them again, except those still skipped since
@@ -48,7 +48,7 @@
         self._last_response_ms = -math.inf
 
     def candidates(self, nodes: Iterable[NodeAddress], now_ms: float) -> list[HostId]:
-        """Return the nodes to poll, the best first.
+        """Return the nodes to ping, the best first; this node may be among them.
 
         A node that has restarted since it was silent is tried at once.
         """
@@ -73,7 +73,10 @@
         }
 
     def suspect(self, node: NodeAddress, now_ms: float) -> bool:
-        """Skip a silent node for a while; return False if it is skipped already."""
+        """Skip a node for a while; return False if it is skipped already.
+
+        The node was silent, lost the store or has old confirmations.
+        """
         if not self._is_candidate(node, now_ms):
             return False
         length_ms = SUSPECT_MS
@@ -92,6 +95,6 @@
         self._last_response_ms = now_ms
 
     def trust(self, host: HostId, now_ms: float) -> None:
-        """Drop the suspicion of a node that has responded correctly."""
+        """Drop the suspicion of a node that responded with recent confirmations."""
         self._suspicions.pop(host, None)
         self.record_response(now_ms)
--- a/src/crocusspindle/core/retry_budget.py
+++ b/src/crocusspindle/core/retry_budget.py
@@ -147,8 +147,8 @@
             return 0.0
         return min(self._window_ms, now_ms - self._since_ms)
 
-    def records(self, own: str, now_ms: float) -> list[RetryRecord]:
-        """Return the counts of this placer, under its own name, and of the others."""
+    def records(self, own_origin: str, now_ms: float) -> list[RetryRecord]:
+        """Return the counts of this placer, under its origin, and of the others."""
         self._forget(now_ms)
         self._published_ms = now_ms
         self._unpublished = 0
@@ -156,12 +156,12 @@
         slices = _time_slices(
             self._requests, self._retries, self._window_ms / SLICES_PER_WINDOW, now_ms
         )
-        own_records = [RetryRecord(own, self._number, slices)] if slices else []
+        own_records = [RetryRecord(own_origin, self._number, slices)] if slices else []
         return own_records + list(self._others.values())
 
     def receive(
         self,
-        own: str,
+        own_origin: str,
         records: Iterable[RetryRecord],
         known_ms: float,
         now_ms: float,
@@ -169,7 +169,7 @@
         """Merge another placer's records, complete for the last ``known_ms``."""
         for record in records:
             current = self._others.get(record.origin)
-            if record.origin != own and (
+            if record.origin != own_origin and (
                 current is None or current.number < record.number
             ):
                 self._others[record.origin] = record
--- a/src/crocusspindle/core/service_placer.py
+++ b/src/crocusspindle/core/service_placer.py
@@ -2,7 +2,7 @@
 
 Sized for services of about ten targets with 2 to 6 slots each, loaded from a third to
 all of their capacity, where any target may develop a gray failure at any time. Guards
-against requests sent to a target that another entry has just seen fail, requests that
+against requests sent to a target that another node has just seen fail, requests that
 queue at a full target while another one is idle, and callers kept waiting for a
 refusal.
 """
@@ -343,7 +343,7 @@
         self._floor.record_outcome(outcome, now_ms)
         previous_state = tracker.ejection_state
         tracker.record_result(
-            self._attempt_result(ended_grant, outcome, sender, latency_ms, now_ms)
+            self._tracked_attempt(ended_grant, outcome, sender, latency_ms, now_ms)
         )
         self._unreached.record(outcome is AttemptOutcome.UNREACHED)
         if ended_grant is not None and outcome is AttemptOutcome.ANSWERED:
@@ -358,7 +358,7 @@
         if not self.crash_watch.has_reports:
             self._serve_queue(now_ms)
 
-    def _attempt_result(
+    def _tracked_attempt(
         self,
         grant: Grant | None,
         outcome: AttemptOutcome,
--- a/src/crocusspindle/gateway/attempt_runner.py
+++ b/src/crocusspindle/gateway/attempt_runner.py
@@ -45,11 +45,11 @@
         self._client = TargetClient(dialect)
 
     async def start(self) -> None:
-        """Open the connections to targets."""
+        """Open the client for targets."""
         await self._client.start()
 
     async def stop(self) -> None:
-        """Close the connections to targets."""
+        """Close the client for targets."""
         await self._client.stop()
 
     async def send(self, context: RequestContext) -> AttemptResult:
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -61,7 +61,7 @@
         return self._fleet_state.crashes.is_held(content)
 
     def is_suspect(self, content: ContentDigest) -> bool:
-        """Return True if targets crashed while they ran a request."""
+        """Return True if a request has to be isolated from other requests."""
         isolation = self._fleet_state.crashes.isolation(content)
         return isolation is not Isolation.NONE
 
--- a/src/crocusspindle/gateway/document_deltas.py
+++ b/src/crocusspindle/gateway/document_deltas.py
@@ -49,7 +49,7 @@
         return delta
 
     def apply_delta(self, delta: Delta) -> bytes | None:
-        """Return the newer encoding; None if the base is not held here."""
+        """Return the newer encoding; None if the base is missing or differs here."""
         base, data = delta
         if base != NO_BASE and base not in self._encodings:
             return None
--- a/src/crocusspindle/gateway/entry.py
+++ b/src/crocusspindle/gateway/entry.py
@@ -78,11 +78,11 @@
         self.running = 0
 
     async def start(self) -> None:
-        """Open the connections to targets."""
+        """Open the client for targets."""
         await self._attempt_runner.start()
 
     async def stop(self) -> None:
-        """Close the connections to targets."""
+        """Close the client for targets."""
         await self._attempt_runner.stop()
 
     def start_early(
--- a/src/crocusspindle/gateway/exchange.py
+++ b/src/crocusspindle/gateway/exchange.py
@@ -64,7 +64,9 @@
         self._responses: dict[tuple[Address, int], _SentResponse | None] = {}
 
     def handle(self, message_type: type[Any], handler: Handler) -> None:
-        """Call a handler for each message of a type; its result is the response.
+        """Call a handler for each message of a type.
+
+        Its result is the response to a request; if it is None, none is sent.
 
         Messages do not name their sender: its address identifies it, and names would
         be the longest part of most datagrams.
@@ -74,7 +76,7 @@
     def handle_late_response(
         self, message_type: type[Any], handler: LateHandler
     ) -> None:
-        """Call a handler for responses whose request was given up."""
+        """Call a handler for responses whose request is no longer pending."""
         self._late_handlers[message_type] = handler
 
     async def start(self) -> None:
--- a/src/crocusspindle/gateway/fleet_state.py
+++ b/src/crocusspindle/gateway/fleet_state.py
@@ -190,8 +190,8 @@
     def apply_state(self, state: State, sent_ms: float) -> bool:
         """Apply a peer's state; its ages count from ``sent_ms`` of the request.
 
-        Return False if a delta could not be applied because its base is not held. With
-        a ``sent_ms`` of minus infinity the state confirms nothing.
+        Return False if a delta could not be applied because its base is not held, or
+        differs here. With a ``sent_ms`` of minus infinity the state confirms nothing.
         """
         configuration = self._apply_delta("configuration", state.configuration)
         if configuration is not None:
--- a/src/crocusspindle/gateway/membership.py
+++ b/src/crocusspindle/gateway/membership.py
@@ -135,7 +135,7 @@
         self.spawn(self._view_loop())
 
     def leave(self) -> None:
-        """Notify the reader at once that this node accepts no new callers."""
+        """Notify the reader at once that this node is leaving."""
         self.leaving = True
         self._wake.set()
 
@@ -367,7 +367,7 @@
                 return
             self._exchange.notify(to, state)
 
-    def _present_nodes(self) -> dict[HostId, NodeAddress]:
+    def _pinging_nodes(self) -> dict[HostId, NodeAddress]:
         oldest_ping_ms = now_ms() - PING_TIMEOUT_MS
         present = {
             host: node
@@ -381,7 +381,7 @@
     def _update_open_nodes(self) -> None:
         open_nodes = sorted(
             (node.caller_address, node.domain)
-            for host, node in self._present_nodes().items()
+            for host, node in self._pinging_nodes().items()
             if (
                 self.ready if host == self._node.host else self._ready_by_host.get(host)
             )
@@ -396,7 +396,7 @@
             await asyncio.sleep(VIEW_INTERVAL_S)
             self._update_open_nodes()
             try:
-                await self._view_keeper.renew(self._present_nodes())
+                await self._view_keeper.renew(self._pinging_nodes())
                 await self._platform_reader.write_crashes()
             except PlatformError as error:
                 log_state_change(self._log, "view not written", error=str(error))
--- a/src/crocusspindle/gateway/messages.py
+++ b/src/crocusspindle/gateway/messages.py
@@ -239,7 +239,7 @@
 @message(8)
 @dataclass(frozen=True, slots=True)
 class EjectedNote:
-    """Report to a placer's successors for how long a target is still ejected."""
+    """Report to other placers for how long a target is still ejected."""
 
     service: str
     target: str
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -31,7 +31,7 @@
 sent three copies, one every `RESEND_S`: two may be lost, or the peer is down."""
 
 PLACER_SUSPECT_MS: Final = 1_500.0
-"""Time for which a placer that did not reply is skipped."""
+"""Time for which a placer that did not respond is skipped."""
 
 FALLBACK_HEDGE_MS: Final = 1_000.0
 
@@ -49,7 +49,7 @@
 
 
 class Placing(Service):
-    """Request targets from a service's placer, or choose locally if none replies."""
+    """Request targets from a service's placer; choose locally if none responds."""
 
     name: ClassVar[str] = "placing"
     needs: ClassVar[tuple[str, ...]] = ("exchange", "placers", "crashes")
@@ -70,16 +70,16 @@
         self._log = Logger("placing")
 
     async def start(self) -> None:
-        """Register the callback for ejections and the handler of late replies."""
+        """Register the callback for ejections and the handler of late responses."""
         self._placers.on_ejected = self._fallback.avoid
         self._exchange.handle_late_response(PlaceAnswer, self._release_grant)
 
-    def _release_grant(self, reply: PlaceAnswer, placer: Address) -> None:
+    def _release_grant(self, response: PlaceAnswer, placer: Address) -> None:
         # The request was abandoned or went to another placer. Its slot would stay taken
         # until the request's deadline, and other requests would be refused.
         note = EndedNote(
-            reply.target,
-            reply.grant,
+            response.target,
+            response.grant,
             ATTEMPT_OUTCOMES.index(AttemptOutcome.ABANDONED),
             0,
         )
@@ -99,11 +99,11 @@
             if contacted >= MAX_PLACERS:
                 break
             contacted += 1
-            reply = await self._request_from(
+            decision = await self._request_from(
                 host, service, placement_request, counted=contacted > 1
             )
-            if reply is not None:
-                return reply
+            if decision is not None:
+                return decision
         return self._place_locally(service, placement_request)
 
     async def _request_from(
@@ -132,24 +132,24 @@
             list(placement_request.excluded),
             packed_limits(self._limits_of(service), now_ms()),
         )
-        reply = await self._exchange.request(
+        response = await self._exchange.request(
             to, message, REPLY_TIMEOUT_S, left_ms / 1e3
         )
-        if isinstance(reply, RefusedAnswer):
-            return PlacementRefused(reply.reason, reply.retry_after_ms)
-        if not isinstance(reply, PlaceAnswer):
+        if isinstance(response, RefusedAnswer):
+            return PlacementRefused(response.reason, response.retry_after_ms)
+        if not isinstance(response, PlaceAnswer):
             self._suspect_until_ms[host] = now_ms() + PLACER_SUSPECT_MS
             log_state_change(
                 self._log, "placer passed over", host=host, service=service
             )
             return None
-        target = self._placers.targets.get(TargetIdentity(reply.target))
+        target = self._placers.targets.get(TargetIdentity(response.target))
         if target is None:
             # The placer's list of targets is newer or older than this node's.
-            self._release_grant(reply, to)
+            self._release_grant(response, to)
             return None
         return Placement(
-            service, target, reply.hedge_after_ms, GrantId(reply.grant), host, to
+            service, target, response.hedge_after_ms, GrantId(response.grant), host, to
         )
 
     def _limits_of(self, service: ServiceId) -> list[LimitReport]:
--- a/src/crocusspindle/gateway/platform_reader.py
+++ b/src/crocusspindle/gateway/platform_reader.py
@@ -39,12 +39,12 @@
 """How long a reader continues after the last ping: a few pings may be lost."""
 
 OWN_READ_MS: Final = 700.0
-"""How long a node reads for itself before it tries to find a reader again."""
+"""How long a node continues to read for itself after it last found no reader."""
 
 LONG_POLL_MS: Final = 500.0
 """Long-poll timeout. A response confirms the state as of the call's start, so its age
 is one to two timeouts; relayed twice a second it stays below 1.6 s, well under
-`STALE_STATE_MS`."""
+`STALE_STATE_MS` of the view keeper."""
 
 POLL_INTERVAL_S: Final = 0.5
 """Minimum time between calls for a table. Each target writes about every 1.5 s, so the
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -136,18 +136,18 @@
         self, customer: CustomerId, entry: ViewEntry, view_number: int
     ) -> None:
         to = (entry.node.ip, entry.node.peer_port)
-        reply = await self._exchange.request(
+        response = await self._exchange.request(
             to, ReleaseAsk(customer, view_number), RELEASE_TIMEOUT_S, RELEASE_TIMEOUT_S
         )
-        if not isinstance(reply, ReleaseAnswer):
+        if not isinstance(response, ReleaseAnswer):
             return
-        self._keeper.record_release(customer, entry.key, reply.tokens, now_ms())
+        self._keeper.record_release(customer, entry.key, response.tokens, now_ms())
         log_state_change(
             self._log,
             "quota handed over",
             customer=customer,
             by=entry.node.host,
-            tokens=round(reply.tokens, 1),
+            tokens=round(response.tokens, 1),
         )
 
     async def _release_ask(self, message: ReleaseAsk, sender: Address) -> ReleaseAnswer:
@@ -161,8 +161,9 @@
     ) -> Admitted | OverRate | NotKept:
         """Spend a customer's token at its keeper, or from the local reserve.
 
-        Shortly after this node's start, callers wait for a keeper and for its tokens
-        until ``wait_until_ms`` at most.
+        Return ``NotKept`` if no keeper decides and the reserve allows none. Shortly
+        after this node's start, callers wait for a keeper and for its tokens until
+        ``wait_until_ms`` at most.
         """
         if rule.rate_per_s <= 0:
             return Admitted(0.0)
@@ -180,13 +181,13 @@
             # fleet that was down retry at once.
             extended_wait_limit_ms = max(wait_limit_ms, wait_until_ms - now_ms())
             message = SpendAsk(rule.customer, round(extended_wait_limit_ms))
-            reply = await self._exchange.request(
+            response = await self._exchange.request(
                 to, message, REPLY_TIMEOUT_S, 2 * REPLY_TIMEOUT_S
             )
-            if isinstance(reply, SpendAnswer):
-                return Admitted(reply.wait_ms)
-            if isinstance(reply, RefusedAnswer):
-                return OverRate(reply.retry_after_ms)
+            if isinstance(response, SpendAnswer):
+                return Admitted(response.wait_ms)
+            if isinstance(response, RefusedAnswer):
+                return OverRate(response.retry_after_ms)
         return self._spend_reserve(rule)
 
     def _spend_reserve(self, rule: CustomerRule) -> Admitted | NotKept:
--- a/src/crocusspindle/gateway/reload.py
+++ b/src/crocusspindle/gateway/reload.py
@@ -25,7 +25,9 @@
 class Reload(Service):
     """Read the settings again on SIGHUP and when their file has changed.
 
-    Bounds apply at once; addresses and names of the node apply at its next start.
+    Most bounds apply at once. The view fence, the quota window and the drain timeout of
+    the kernel apply at the next start, as do the node's addresses and names. The retry
+    budget and the floor share of a service are read when this node first uses them.
     Invalid settings are ignored: a node that stopped over a half-written file would
     drop its callers.
     """
--- a/src/crocusspindle/gateway/serve.py
+++ b/src/crocusspindle/gateway/serve.py
@@ -13,7 +13,8 @@
 __all__ = ["serve", "table_store"]
 
 WITHOUT_ENV: Final = "CROCUSSPINDLE_WITHOUT"
-"""Comma-separated names of mechanisms to switch off, for trials."""
+"""Comma-separated names of policies to switch off, to compare with a fleet that lacks
+them."""
 
 
 def serve(path: str | None, began_ms: float) -> None:
--- a/src/crocusspindle/gateway/view_keeper.py
+++ b/src/crocusspindle/gateway/view_keeper.py
@@ -72,13 +72,13 @@
             self._last_number = self._fleet_state.view.version
             self._changed_at_ms = now_ms()
 
-    async def renew(self, pinged: NodesByHost) -> None:
-        """Write a view of the nodes that are present, given those with recent pings."""
+    async def renew(self, pinging: NodesByHost) -> None:
+        """Write a view of the nodes that are present, given those that ping."""
         active_ms = now_ms() - self._platform_reader.active_since_ms
         view_state = self._fleet_state.view
         if active_ms < SETTLE_MS or view_state.age_ms(now_ms()) > STALE_STATE_MS:
             return
-        present = {**self._unlisted_nodes(), **pinged}
+        present = {**self._newly_registered_nodes(), **pinging}
         view = view_state.content
         if not self._is_writer(view, present):
             return
@@ -102,7 +102,7 @@
         ):
             self._fleet_state.notify()
 
-    def _unlisted_nodes(self) -> dict[HostId, NodeAddress]:
+    def _newly_registered_nodes(self) -> dict[HostId, NodeAddress]:
         # Nodes whose rows are newer than the view. If they were added one by one as
         # they ping, a starting fleet would write a view for each late node, and send
         # each view to all nodes.
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -128,6 +128,6 @@
     for number in (returning, rest[1]):
         membership._add_known_node(view_entry(number).node)
         membership._last_ping_ms[view_entry(number).node.host] = now_ms()
-    await membership._view_keeper.renew(membership._present_nodes())
+    await membership._view_keeper.renew(membership._pinging_nodes())
     (newest,) = written
     assert {entry.node.host for entry in newest.entries} == set(ranked)
