--- a/tests/core/test_reader_choice.py
+++ b/tests/core/test_reader_choice.py
@@ -18,13 +18,13 @@
 BY_HOST = {candidate.host: candidate for candidate in NODES}
 OWN = HostId("own")
 ROUND_MS = 950.0
-"""Time in which a node polls three silent readers and pauses."""
+"""Time in which a node pings three silent readers and pauses."""
 
 
 def test_nine_silent_readers_at_the_front_are_skipped():
     """Nine hosts on slow links rank first and never respond in time.
 
-    If a suspicion expires after two seconds, and polling all nine takes three, no host
+    If a suspicion expires after two seconds, and pinging all nine takes three, no host
     reaches the tenth reader, and every host reads the store itself.
     """
     choice = ReaderChoice(OWN, random.Random(1))
@@ -76,7 +76,7 @@
 def test_a_reader_that_has_restarted_is_polled_at_once():
     """The host that ranks first is killed, is silent, and restarts.
 
-    If its silence before the restart counted, some hosts would poll another reader for
+    If its silence before the restart counted, some hosts would ping another reader for
     half a minute, and both readers would read the store.
     """
     choice = ReaderChoice(OWN, random.Random(1))
--- a/tests/core/test_retries_across_placers.py
+++ b/tests/core/test_retries_across_placers.py
@@ -90,7 +90,7 @@
 
 
 def test_a_request_that_also_went_to_a_slow_placer_is_counted_once():
-    """The first placer is slow, and the entries send their requests to the second too.
+    """The first placer is slow, and the nodes send their requests to the second too.
 
     Counted by both, each request would add to the allowance for retries twice.
     """
