--- a/src/crocusspindle/core/crash_table.py
+++ b/src/crocusspindle/core/crash_table.py
@@ -99,7 +99,9 @@
         self._records[content] = cleared
         return cleared
 
-    def begin_trial(self, content: ContentDigest, at_ms: float) -> CrashRecord | None:
+    def begin_held_trial(
+        self, content: ContentDigest, at_ms: float
+    ) -> CrashRecord | None:
         """Count a trial of a held request; return its record."""
         record = self._records.get(content)
         if record is None:
--- a/src/crocusspindle/core/service_placer.py
+++ b/src/crocusspindle/core/service_placer.py
@@ -128,7 +128,7 @@
             tracker.limit.apply_report(report, now_ms)
             tracker.limit.record_sent(now_ms)
 
-    def recent_limits(self) -> list[LimitReport]:
+    def limited_attempts(self) -> list[LimitReport]:
         """Return one report for each recent attempt at a rate-limited target.
 
         Covers the attempts since the last call; other placers count them, too.
--- a/src/crocusspindle/gateway/crash_sharing.py
+++ b/src/crocusspindle/gateway/crash_sharing.py
@@ -60,7 +60,7 @@
         """Return True if a request is quarantined and may only be sent as a trial."""
         return self._fleet_state.crashes.is_held(content)
 
-    def is_suspect(self, content: ContentDigest) -> bool:
+    def needs_isolation(self, content: ContentDigest) -> bool:
         """Return True if a request has to be isolated from other requests."""
         isolation = self._fleet_state.crashes.isolation(content)
         return isolation is not Isolation.NONE
@@ -89,11 +89,11 @@
             self._log_record("crash record changed", record)
         self._publish(service, ranks, changed.values())
 
-    def begin_trial(
+    def begin_held_trial(
         self, service: ServiceId, ranks: PlacerRanks, content: ContentDigest
     ) -> None:
         """Record a trial of a held request before it is sent."""
-        record = self._fleet_state.crashes.begin_trial(content, wall_ms())
+        record = self._fleet_state.crashes.begin_held_trial(content, wall_ms())
         if record is not None:
             self._log_record("trial of a held request", record)
             self._publish(service, ranks, (record,))
--- a/src/crocusspindle/gateway/placers.py
+++ b/src/crocusspindle/gateway/placers.py
@@ -169,7 +169,7 @@
         self._publish_changes(ServiceId(message.service), placer)
         if isinstance(decision, PlacementGranted):
             if placement_request.trial:
-                self._crashes.begin_trial(
+                self._crashes.begin_held_trial(
                     ServiceId(message.service), self.ranks, content
                 )
             target = decision.target
@@ -254,9 +254,9 @@
         return Done()
 
     def _publish_changes(self, service: ServiceId, placer: ServicePlacer) -> None:
-        recent_limits = packed_limits(placer.recent_limits(), now_ms())
-        if recent_limits:
-            self.ranks.notify_others(service, PacedNote(service, recent_limits))
+        limited_attempts = packed_limits(placer.limited_attempts(), now_ms())
+        if limited_attempts:
+            self.ranks.notify_others(service, PacedNote(service, limited_attempts))
         for change in placer.changes():
             ejected = change.standing is EjectionState.EJECTED
             left_ms = round(change.until_ms - now_ms())
--- a/src/crocusspindle/gateway/placing.py
+++ b/src/crocusspindle/gateway/placing.py
@@ -26,7 +26,7 @@
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
 
-REPLY_TIMEOUT_S: Final = 0.09
+PEER_SILENT_S: Final = 0.09
 """Silence of a peer after which a request is not sent again. By then the exchange has
 sent three copies, one every `RESEND_S`: two may be lost, or the peer is down."""
 
@@ -83,9 +83,7 @@
             ATTEMPT_OUTCOMES.index(AttemptOutcome.ABANDONED),
             0,
         )
-        self.spawn(
-            self._exchange.request(placer, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S)
-        )
+        self.spawn(self._exchange.request(placer, note, PEER_SILENT_S, PEER_SILENT_S))
 
     async def place(
         self, service: ServiceId, placement_request: PlacementRequest
@@ -133,7 +131,7 @@
             packed_limits(self._limits_of(service), now_ms()),
         )
         response = await self._exchange.request(
-            to, message, REPLY_TIMEOUT_S, left_ms / 1e3
+            to, message, PEER_SILENT_S, left_ms / 1e3
         )
         if isinstance(response, RefusedAnswer):
             return PlacementRefused(response.reason, response.retry_after_ms)
@@ -165,7 +163,7 @@
     ) -> Placement | PlacementRefused:
         if placement_request.retry:
             return PlacementRefused("repeats", EJECTION_MS)
-        if self._crashes.is_suspect(placement_request.content):
+        if self._crashes.needs_isolation(placement_request.content):
             # What else a target runs, or who else runs this request, is unknown here.
             return PlacementRefused("suspect", EJECTION_MS)
         # How much other nodes send to a rate-limited target is unknown here.
@@ -208,7 +206,7 @@
                 continue
             tried += 1
             if (
-                await self._exchange.request(to, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S)
+                await self._exchange.request(to, note, PEER_SILENT_S, PEER_SILENT_S)
                 is not None
             ):
                 return
@@ -248,4 +246,4 @@
         # Also notifies a placer that was removed from the view: it keeps placing for a
         # while, and targets would seem to hang if the ends of attempts were missing.
         to = placement.placer_address
-        self.spawn(self._exchange.request(to, note, REPLY_TIMEOUT_S, REPLY_TIMEOUT_S))
+        self.spawn(self._exchange.request(to, note, PEER_SILENT_S, PEER_SILENT_S))
--- a/src/crocusspindle/gateway/quota.py
+++ b/src/crocusspindle/gateway/quota.py
@@ -28,7 +28,7 @@
 from crocusspindle.kernel import Service
 from crocusspindle.log_lines import Logger, log_state_change
 
-REPLY_TIMEOUT_S: Final = 0.09
+PEER_SILENT_S: Final = 0.09
 RELEASE_TIMEOUT_S: Final = 0.1
 RETRY_INTERVAL_S: Final = 0.06
 """Delay between attempts to spend at a keeper. After it, a starting keeper or a view in
@@ -182,7 +182,7 @@
             extended_wait_limit_ms = max(wait_limit_ms, wait_until_ms - now_ms())
             message = SpendAsk(rule.customer, round(extended_wait_limit_ms))
             response = await self._exchange.request(
-                to, message, REPLY_TIMEOUT_S, 2 * REPLY_TIMEOUT_S
+                to, message, PEER_SILENT_S, 2 * PEER_SILENT_S
             )
             if isinstance(response, SpendAnswer):
                 return Admitted(response.wait_ms)
--- a/tests/core/test_crash_table.py
+++ b/tests/core/test_crash_table.py
@@ -94,7 +94,7 @@
         due_ms = table.held_until_ms(POISON)
         assert due_ms == at_ms + FIRST_HOLD_MS * HOLD_FACTOR**number
         at_ms = due_ms
-        table.begin_trial(POISON, at_ms)
+        table.begin_held_trial(POISON, at_ms)
         table.record_crash(crash_report(f"trial-{number}", POISON), at_ms)
     assert table.held_until_ms(POISON) == at_ms + FORGET_MS
 
--- a/tests/core/test_reader_choice.py
+++ b/tests/core/test_reader_choice.py
@@ -73,7 +73,7 @@
     assert len(choice.candidates(NODES, now_ms + 1.0)) == len(NODES)
 
 
-def test_a_reader_that_has_restarted_is_polled_at_once():
+def test_a_reader_that_has_restarted_is_pinged_at_once():
     """The host that ranks first is killed, is silent, and restarts.
 
     If its silence before the restart counted, some hosts would ping another reader for
