--- a/src/crocusspindle/core/attempts.py
+++ b/src/crocusspindle/core/attempts.py
@@ -147,9 +147,13 @@
         does any attempt before latencies are known.
         """
         deadline_ms = pending.arrival.deadline_ms
-        typical_ms = self.hedge_after_ms()
+        hedge_after_ms = self.hedge_after_ms()
         attempts_left = self._settings.max_attempts - pending.attempts
-        if not pending.arrival.idempotent or typical_ms is None or attempts_left <= 0:
+        if (
+            not pending.arrival.idempotent
+            or hedge_after_ms is None
+            or attempts_left <= 0
+        ):
             return deadline_ms
         half_ms = (deadline_ms - now_ms) / 2.0
-        return min(deadline_ms, now_ms + max(half_ms, 3.0 * typical_ms))
+        return min(deadline_ms, now_ms + max(half_ms, 3.0 * hedge_after_ms))
--- a/src/crocusspindle/core/bucket.py
+++ b/src/crocusspindle/core/bucket.py
@@ -193,7 +193,7 @@
 
     def put(
         self,
-        source: str,
+        lender: str,
         amount: float,
         decay_per_ms: float,
         decays_from_ms: float,
@@ -201,12 +201,12 @@
     ) -> None:
         """Add a lender's tokens, which decay at the given rate from a time on."""
         self.tokens(now_ms)
-        existing = self._by_lender.get(source)
+        existing = self._by_lender.get(lender)
         if existing is not None and existing.value > 0.0:
             amount += existing.value
             decay_per_ms = max(decay_per_ms, existing.decay_per_ms)
             decays_from_ms = min(decays_from_ms, existing.decays_from_ms)
-        self._by_lender[source] = _LenderTokens(amount, decay_per_ms, decays_from_ms)
+        self._by_lender[lender] = _LenderTokens(amount, decay_per_ms, decays_from_ms)
 
     def take(self, amount: float) -> None:
         """Take tokens; `tokens` must have just returned at least this amount."""
@@ -215,7 +215,7 @@
             borrowed.value -= taken
             amount -= taken
         self._by_lender = {
-            source: borrowed
-            for source, borrowed in self._by_lender.items()
+            lender: borrowed
+            for lender, borrowed in self._by_lender.items()
             if borrowed.value > 0.0
         }
--- a/src/crocusspindle/core/groups.py
+++ b/src/crocusspindle/core/groups.py
@@ -94,8 +94,8 @@
         """Return a group for a request and count the request as sent there."""
         if len(groups) > 1:
             self._drop_outdated(groups)
-            sizes = [self._slots(group) for group in groups]
-            drawn = self._random.choices(groups, sizes, k=2)
+            slots = [self._slots(group) for group in groups]
+            drawn = self._random.choices(groups, slots, k=2)
             chosen = min(drawn, key=self._pressure)
         else:
             chosen = groups[0]
--- a/src/crocusspindle/core/lenders.py
+++ b/src/crocusspindle/core/lenders.py
@@ -76,12 +76,12 @@
     refused_until_ms: float = -math.inf
     backoff_ms: float = 0.0
 
-    def estimate(self, peers: OtherHolders, now_ms: float) -> float:
+    def estimate(self, other_holders: OtherHolders, now_ms: float) -> float:
         """Return how many tokens the lender may have by now."""
         if self.backoff_ms and now_ms < self.refused_until_ms:
             return 0.0
-        refilled = max(0.0, now_ms - self.estimated_at_ms) * peers.rate_per_ms
-        return min(peers.cap, self.quoted + refilled)
+        refilled = max(0.0, now_ms - self.estimated_at_ms) * other_holders.rate_per_ms
+        return min(other_holders.cap, self.quoted + refilled)
 
 
 class Lenders:
@@ -121,17 +121,23 @@
         state.quoted = 0.0
         state.estimated_at_ms = state.quoted_at_ms = now_ms
 
-    def estimates(self, peers: OtherHolders, now_ms: float) -> dict[MemberId, float]:
+    def estimates(
+        self, other_holders: OtherHolders, now_ms: float
+    ) -> dict[MemberId, float]:
         """Return the estimated tokens of each holder; full before any request."""
         return {
-            holder: self._lender_states[holder].estimate(peers, now_ms)
+            holder: self._lender_states[holder].estimate(other_holders, now_ms)
             if holder in self._lender_states
-            else peers.cap
-            for holder in peers.holders
+            else other_holders.cap
+            for holder in other_holders.holders
         }
 
     def deduct_request(
-        self, lender: MemberId, amount: float, peers: OtherHolders, now_ms: float
+        self,
+        lender: MemberId,
+        amount: float,
+        other_holders: OtherHolders,
+        now_ms: float,
     ) -> None:
         """Deduct a requested amount from the estimate until the reply is received.
 
@@ -140,13 +146,15 @@
         """
         state = self._lender_states.get(lender)
         if state is None:
-            state = self._lender_states[lender] = LenderState(peers.cap, -math.inf)
-        state.quoted = max(0.0, state.estimate(peers, now_ms) - amount)
+            state = self._lender_states[lender] = LenderState(
+                other_holders.cap, -math.inf
+            )
+        state.quoted = max(0.0, state.estimate(other_holders, now_ms) - amount)
         state.estimated_at_ms = now_ms
 
-    def has_requested_all(self, peers: OtherHolders) -> bool:
+    def has_requested_all(self, other_holders: OtherHolders) -> bool:
         """Return True if every other holder was sent a loan request at least once."""
-        return all(holder in self._lender_states for holder in peers.holders)
+        return all(holder in self._lender_states for holder in other_holders.holders)
 
     def _stale_quotes(
         self, holders: Sequence[MemberId], now_ms: float
@@ -159,7 +167,7 @@
         ]
 
     def choose_for_holder(
-        self, peers: OtherHolders, need: float, extra: float, now_ms: float
+        self, other_holders: OtherHolders, missing: float, extra: float, now_ms: float
     ) -> Borrow | None:
         """Choose a lender for a holder; return None if all together have too little.
 
@@ -168,25 +176,29 @@
         and only once the quotes of all lenders are valid. Until then each loan
         request is for all that is needed, so that no fraction is moved for nothing.
         """
-        estimates = self.estimates(peers, now_ms)
+        estimates = self.estimates(other_holders, now_ms)
         self.collects_until_ms = -math.inf
-        if not estimates or sum(estimates.values()) < need:
+        if not estimates or sum(estimates.values()) < missing:
             return None
         self.collects_until_ms = now_ms + COLLECT_PERIOD_MS
         ranked = sorted(estimates, key=lambda holder: -estimates[holder])
-        if estimates[ranked[0]] >= need:
+        if estimates[ranked[0]] >= missing:
             # A lender without a whole token refuses a request for more than one.
-            amount = need + extra if estimates[ranked[0]] >= 1.0 + extra else need
-            self.deduct_request(ranked[0], amount, peers, now_ms)
+            amount = missing + extra if estimates[ranked[0]] >= 1.0 + extra else missing
+            self.deduct_request(ranked[0], amount, other_holders, now_ms)
             return Borrow(tuple(ranked), amount)
         stale = self._stale_quotes(ranked, now_ms)
         if stale:
-            return Borrow(tuple(stale), need)
-        self.deduct_request(ranked[0], estimates[ranked[0]], peers, now_ms)
+            return Borrow(tuple(stale), missing)
+        self.deduct_request(ranked[0], estimates[ranked[0]], other_holders, now_ms)
         return Borrow(tuple(ranked), estimates[ranked[0]])
 
     def choose_for_non_holder(
-        self, own_member: MemberId, peers: OtherHolders, need: float, now_ms: float
+        self,
+        own_member: MemberId,
+        other_holders: OtherHolders,
+        missing: float,
+        now_ms: float,
     ) -> Borrow | float:
         """Choose a lender for a node without a share, or return when to retry.
 
@@ -197,13 +209,14 @@
         """
         candidates = {
             holder: estimate
-            for holder, estimate in self.estimates(peers, now_ms).items()
+            for holder, estimate in self.estimates(other_holders, now_ms).items()
             if holder not in self._lender_states
             or now_ms >= self._lender_states[holder].refused_until_ms
         }
         if not candidates:
             retry_times_ms = [
-                self._lender_states[each].refused_until_ms for each in peers.holders
+                self._lender_states[each].refused_until_ms
+                for each in other_holders.holders
             ]
             return min(retry_times_ms, default=now_ms)
         ranked = sorted(
@@ -213,6 +226,6 @@
                 score(own_member.encode(), holder),
             ),
         )
-        need += self.loan_pool.max_decay(DECAY_MARGIN_MS)
-        self.deduct_request(ranked[0], need, peers, now_ms)
-        return Borrow(tuple(ranked), need, gather=True)
+        missing += self.loan_pool.max_decay(DECAY_MARGIN_MS)
+        self.deduct_request(ranked[0], missing, other_holders, now_ms)
+        return Borrow(tuple(ranked), missing, gather=True)
--- a/src/crocusspindle/core/loans.py
+++ b/src/crocusspindle/core/loans.py
@@ -13,7 +13,7 @@
 """
 
 MAX_GRACE_MS: Final = 25.0
-"""Maximum time for which a lender reserves the capacity for a loan: ten round trips
+"""Maximum time for which a lender reserves the capacity for a loan: eight round trips
 between failure domains.
 
 A loan received later loses value by its lender's refill. A longer time is worse for
@@ -35,7 +35,7 @@
 
 
 MAX_GATHERS: Final = 4
-"""Loan requests that a holder sends to others for one loan request with ``gather``.
+"""Loan requests that a holder sends to others to gather a token for one requester.
 
 Otherwise, in a burst that drains all shares, the holders would borrow from each other
 for as long as tokens are left.
@@ -53,7 +53,8 @@
 class Borrow:
     """Request ``missing`` tokens from the first of ``holders`` and credit the loan.
 
-    With ``gather`` that holder first collects from the others what it lacks.
+    With ``gather`` this node holds no share, and that holder first borrows from the
+    others what it lacks.
     """
 
     holders: tuple[MemberId, ...]
--- a/src/crocusspindle/core/operation_entries.py
+++ b/src/crocusspindle/core/operation_entries.py
@@ -95,11 +95,11 @@
 
     def __init__(self, limits: LedgerLimits) -> None:
         self._limits = limits
-        self._entries: dict[OperationName, LedgerEntry] = {}
+        self._records: dict[OperationName, LedgerEntry] = {}
         self._response_bytes = 0
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._records)
 
     @property
     def full(self) -> bool:
@@ -108,29 +108,29 @@
         Nothing is evicted: losing a begun record can duplicate a payment, while a full
         ledger only refuses requests.
         """
-        return len(self._entries) >= self._limits.max_records
+        return len(self._records) >= self._limits.max_records
 
     def get(self, name: OperationName) -> LedgerEntry | None:
         """Return the record, even after its retention window."""
-        return self._entries.get(name)
+        return self._records.get(name)
 
     def live(self, name: OperationName, now_ms: float) -> LedgerEntry | None:
         """Return the record unless its retention window has ended."""
-        entry = self._entries.get(name)
-        if entry is None or entry.expires_at_ms <= now_ms:
+        tracked = self._records.get(name)
+        if tracked is None or tracked.expires_at_ms <= now_ms:
             return None
-        return entry
+        return tracked
 
     def find_own(
         self, name: OperationName, attempt: Attempt, origin: MemberId, phase: EntryPhase
     ) -> LedgerEntry | None:
         """Return the record of an attempt that began here, if it is in the phase."""
-        entry = self._entries.get(name)
-        if entry is None or entry.record.attempt != attempt:
+        tracked = self._records.get(name)
+        if tracked is None or tracked.record.attempt != attempt:
             return None
-        if entry.record.origin != origin or entry.phase is not phase:
+        if tracked.record.origin != origin or tracked.phase is not phase:
             return None
-        return entry
+        return tracked
 
     def put(
         self,
@@ -142,7 +142,7 @@
     ) -> LedgerEntry:
         """Store a new record in place of a free or replaced one."""
         limits = self._limits
-        entry = LedgerEntry(
+        tracked = LedgerEntry(
             record,
             phase,
             mode,
@@ -150,15 +150,15 @@
             settle_by_ms=now_ms + limits.settle_ms,
             expires_at_ms=now_ms + limits.retention_ms,
         )
-        previous = self._entries.get(record.name)
+        previous = self._records.get(record.name)
         if previous is not None:
-            entry.row_version = previous.row_version
-            entry.cancelled = previous.cancelled
-            entry.competitor = previous.competitor
-            entry.competitor_settle_by_ms = previous.competitor_settle_by_ms
+            tracked.row_version = previous.row_version
+            tracked.cancelled = previous.cancelled
+            tracked.competitor = previous.competitor
+            tracked.competitor_settle_by_ms = previous.competitor_settle_by_ms
             self._drop(record.name)
-        self._entries[record.name] = entry
-        return entry
+        self._records[record.name] = tracked
+        return tracked
 
     def apply_row(
         self, record: Record, row_version: int, view: ViewNumber, now_ms: float
@@ -176,16 +176,16 @@
             or record.attempt in existing.cancelled
         ):
             return
-        entry = self.put(record, EntryPhase.BEGUN, LedgerMode.TABLE, view, now_ms)
-        entry.row_version = row_version
+        tracked = self.put(record, EntryPhase.BEGUN, LedgerMode.TABLE, view, now_ms)
+        tracked.row_version = row_version
         if record.state is RecordState.FREE:
-            entry.cancel()
+            tracked.cancel()
         elif record.response is not None:
-            self.finish(entry, record.response)
+            self.finish(tracked, record.response)
 
-    def finish(self, entry: LedgerEntry, response: StoredResponse) -> None:
+    def finish(self, tracked: LedgerEntry, response: StoredResponse) -> None:
         """Store a response, without its body if that exceeds the bounds."""
-        entry.phase = EntryPhase.DONE
+        tracked.phase = EntryPhase.DONE
         body = response.body
         if body is not None:
             room = self._limits.max_response_bytes - self._response_bytes
@@ -193,15 +193,15 @@
                 response = replace(response, body=None)
             else:
                 self._response_bytes += len(body)
-        entry.record = with_state(entry.record, RecordState.DONE, response)
-        entry.unflushed = entry.mode is LedgerMode.PEER
+        tracked.record = with_state(tracked.record, RecordState.DONE, response)
+        tracked.unflushed = tracked.mode is LedgerMode.PEER
 
     def expire(self, now_ms: float) -> list[Record]:
         """Drop and return the records whose retention window has ended."""
         expired = [
-            entry.record
-            for entry in self._entries.values()
-            if entry.expires_at_ms <= now_ms
+            tracked.record
+            for tracked in self._records.values()
+            if tracked.expires_at_ms <= now_ms
         ]
         for record in expired:
             self._drop(record.name)
@@ -210,31 +210,31 @@
     def unflushed(self, view: ViewNumber) -> list[WriteRow]:
         """Return the rows to write for records made under earlier views."""
         return [
-            WriteRow(name.row_key, encode_record(entry.record), entry.row_version)
-            for name, entry in self._entries.items()
-            if entry.unflushed and entry.view < view
+            WriteRow(name.row_key, encode_record(tracked.record), tracked.row_version)
+            for name, tracked in self._records.items()
+            if tracked.unflushed and tracked.view < view
         ]
 
     def record_flush(
         self, name: OperationName, version: int, found_row: bytes | None
     ) -> bool:
         """Record the row after a flush; return False if it must be written again."""
-        entry = self._entries.get(name)
-        if entry is None or not entry.unflushed:
+        tracked = self._records.get(name)
+        if tracked is None or not tracked.unflushed:
             return True
-        entry.row_version = version
+        tracked.row_version = version
         if found_row is not None:
             row = decode_record(found_row)
-            same = row.attempt == entry.record.attempt
-            entry.unflushed = row.state is not RecordState.DONE and not (
-                same and row.state is entry.record.state
+            same = row.attempt == tracked.record.attempt
+            tracked.unflushed = row.state is not RecordState.DONE and not (
+                same and row.state is tracked.record.state
             )
-            return not entry.unflushed
-        entry.unflushed = False
+            return not tracked.unflushed
+        tracked.unflushed = False
         return True
 
     def _drop(self, name: OperationName) -> None:
-        entry = self._entries.pop(name)
-        response = entry.record.response
+        tracked = self._records.pop(name)
+        response = tracked.record.response
         if response is not None and response.body is not None:
             self._response_bytes -= len(response.body)
--- a/src/crocusspindle/core/placement.py
+++ b/src/crocusspindle/core/placement.py
@@ -7,7 +7,7 @@
 from crocusspindle.ids import DomainId, TargetId
 
 PROBATION_WEIGHT: Final = 0.075
-"""At or below this weight a target gets only trials, when ``wants_trial`` returns True.
+"""At or below this weight a target gets only trials, and only when one is due.
 It lies between the weight on probation, 0.05, and that of a cold target, 0.1."""
 
 
@@ -67,7 +67,7 @@
     bad target harms one request, which is idempotent and can be retried.
     """
     for slots, weight in candidates:
-        on_probation = weight <= PROBATION_WEIGHT and not slots.running
-        if on_probation and wants_trial(slots.target.target):
+        is_idle = weight <= PROBATION_WEIGHT and not slots.running
+        if is_idle and wants_trial(slots.target.target):
             return slots
     return None
--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -143,7 +143,7 @@
         self._shares.expire_shares(now_ms)
 
     def holders(self, customer: Customer) -> tuple[MemberId, ...]:
-        """Return the holders of a customer, whose addresses its callers get."""
+        """Return the holders of a customer in the newest view."""
         return self._shares.holders(customer)
 
     def spend(
@@ -171,19 +171,21 @@
                 bucket.take(max(0.0, 1.0 - from_pool))
             lenders.collects_until_ms = now_ms
             return Spent(now_ms)
-        peers = self._peers(limit)
+        other_holders = self._other_holders(limit)
         if bucket is None:
             choice = lenders.choose_for_non_holder(
-                self._own_member, peers, 1.0 - own_tokens, now_ms
+                self._own_member, other_holders, 1.0 - own_tokens, now_ms
             )
             return choice if isinstance(choice, Borrow) else OverRate(choice)
         batch = self._batch(bucket)
-        borrow = lenders.choose_for_holder(peers, 1.0 - own_tokens, batch, now_ms)
+        borrow = lenders.choose_for_holder(
+            other_holders, 1.0 - own_tokens, batch, now_ms
+        )
         if borrow is not None:
             return borrow
         return OverRate(now_ms + self._retry_after_ms(limit, own_tokens, now_ms))
 
-    def _peers(self, limit: Customer) -> OtherHolders:
+    def _other_holders(self, limit: Customer) -> OtherHolders:
         holders = self._shares.holders(limit)
         cap, rate_per_ms = self._shares.share(limit, len(holders))
         others = [holder for holder in holders if holder != self._own_member]
@@ -198,12 +200,14 @@
         self, limit: Customer, own_tokens: float, now_ms: float
     ) -> float:
         """Return how long until a whole token may be available, by lenders' quotes."""
-        peers = self._peers(limit)
+        other_holders = self._other_holders(limit)
         lenders = self._lenders_of(limit.customer)
-        if not lenders.has_requested_all(peers):
-            return max(1.0, (1.0 - own_tokens) / peers.rate_per_ms)
-        total_tokens = own_tokens + sum(lenders.estimates(peers, now_ms).values())
-        rate_per_ms = peers.rate_per_ms * (1 + len(peers.holders))
+        if not lenders.has_requested_all(other_holders):
+            return max(1.0, (1.0 - own_tokens) / other_holders.rate_per_ms)
+        total_tokens = own_tokens + sum(
+            lenders.estimates(other_holders, now_ms).values()
+        )
+        rate_per_ms = other_holders.rate_per_ms * (1 + len(other_holders.holders))
         return max(1.0, (1.0 - total_tokens) / rate_per_ms)
 
     def gather(
@@ -211,9 +215,9 @@
     ) -> Borrow | None:
         """Return which holder to borrow from so that this one can lend a whole token.
 
-        Call it when a loan request with ``gather`` found too little here. Pass each
-        reply to `credit_loan` (or `record_timeout`), then call this again; when it
-        returns None, `lend` decides.
+        Call it when a node without a share requested a loan and this holder has too
+        little. Pass each reply to `credit_loan` (or `record_timeout`), then call this
+        again; when it returns None, `lend` decides.
         """
         limit = self._shares.limit_of(customer)
         bucket = self._shares.open_bucket(limit, now_ms) if limit else None
@@ -224,7 +228,9 @@
             return None
         batch = self._batch(bucket)
         lenders = self._lenders_of(customer)
-        return lenders.choose_for_holder(self._peers(limit), lacking, batch, now_ms)
+        return lenders.choose_for_holder(
+            self._other_holders(limit), lacking, batch, now_ms
+        )
 
     def lend(
         self,
@@ -292,9 +298,9 @@
     def top_up(self, customer: CustomerId, now_ms: float) -> Borrow | None:
         """Return which holder to borrow idle tokens from, after this one spent its own.
 
-        Call it after this holder spent a token, and `TOP_UP_MS` after it answered a
-        request with ``gather``, when the capacity reserved for the loan is free again.
-        Do not call it after other loans: those went to a holder that had less.
+        Call it after this holder spent a token, and `TOP_UP_MS` after it replied to a
+        node without a share, when the capacity reserved for the loan is free again.
+        Do not call it after a loan to a holder, which had less.
 
         With a burst of two in two shares, one share is soon full while the other is
         empty, and the refill of the full one is lost: one request in nine was refused
@@ -308,7 +314,7 @@
         lenders = self._lenders_of(customer)
         if now_ms < lenders.top_up_at_ms:
             return None
-        estimates = lenders.estimates(self._peers(limit), now_ms)
+        estimates = lenders.estimates(self._other_holders(limit), now_ms)
         own_tokens = bucket.tokens(now_ms)
         lender = max(estimates, key=lambda holder: estimates[holder], default=None)
         if (
@@ -378,7 +384,8 @@
         if bucket is not None:
             bucket.put_back(spent_at_ms, now_ms)
             return
-        # The token was borrowed; all holders together refill at most at the whole rate.
+        # The token was borrowed, from a lender that was not recorded; all holders
+        # together refill at most at the whole rate.
         rate_per_ms = limit.rate_per_s / 1000.0
         value = 1.0 - rate_per_ms * (now_ms - spent_at_ms) * (1 + self._settings.drift)
         if value > 0.0:
--- a/src/crocusspindle/core/target_pool.py
+++ b/src/crocusspindle/core/target_pool.py
@@ -148,22 +148,22 @@
         return queued_count <= sum(slots.limit for slots in good)
 
     def has_untried(self, tried: set[TargetId], now_ms: float) -> bool:
-        """Return True if an eligible target, free or not, has not been tried."""
+        """Return True if a target in service, free or not, has not been tried."""
         return any(
-            slots.target.target not in tried and self._is_eligible(slots, now_ms)
+            slots.target.target not in tried and self._is_in_service(slots, now_ms)
             for slots in self._live
         )
 
     def capacity(self, now_ms: float) -> int:
-        """Return how many requests the eligible targets run concurrently.
+        """Return how many requests the targets in service run concurrently.
 
         Cached per ``now_ms``, since several estimates of one event need it.
         """
         if now_ms != self._capacity_at_ms:
-            eligible = [
-                slots for slots in self._live if self._is_eligible(slots, now_ms)
+            in_service = [
+                slots for slots in self._live if self._is_in_service(slots, now_ms)
             ]
-            self._capacity = sum(slots.limit for slots in eligible)
+            self._capacity = sum(slots.limit for slots in in_service)
             self._capacity_at_ms = now_ms
         return self._capacity
 
@@ -189,7 +189,7 @@
             for target_id, slots in self._targets.items()
         )
 
-    def _is_eligible(self, slots: TargetSlots, now_ms: float) -> bool:
+    def _is_in_service(self, slots: TargetSlots, now_ms: float) -> bool:
         return self._weight(slots, now_ms) > PROBATION_WEIGHT
 
     def _weight(self, slots: TargetSlots, now_ms: float) -> float:
--- a/src/crocusspindle/core/ticket_schema.py
+++ b/src/crocusspindle/core/ticket_schema.py
@@ -186,7 +186,7 @@
 
     Every node decodes every ticket, so this reads JSON only: YAML takes a second for
     10,000 entries. Raises ``TicketError``, also for unknown fields: a node running an
-    older version becomes ineligible instead of applying part of a ticket.
+    older version stops instead of applying part of a ticket.
     """
     try:
         document = json.loads(content)
@@ -219,7 +219,7 @@
     found = []
     entries = len(parsed.customers) + len(parsed.keys) + len(parsed.services)
     entries += len(parsed.routes)
-    entries += sum(len(callers) for callers in parsed.approvals.values())
+    entries += sum(len(by_customer) for by_customer in parsed.approvals.values())
     if entries == 0:
         found.append(Finding(source, "document", "has no entries", 1))
     if entries > MAX_ENTRIES:
@@ -273,8 +273,8 @@
         ),
         approvals=tuple(
             Approval(ServiceId(service), CustomerId(customer), state.approved_by)
-            for service, callers in sorted(parsed.approvals.items())
-            for customer, state in sorted(callers.items())
+            for service, by_customer in sorted(parsed.approvals.items())
+            for customer, state in sorted(by_customer.items())
             if state is not None
         ),
     )
@@ -290,8 +290,8 @@
         routes=tuple(_removed(parsed.routes)),
         approvals=tuple(
             ApprovalId(ServiceId(service), CustomerId(customer))
-            for service, callers in sorted(parsed.approvals.items())
-            for customer in _removed(callers)
+            for service, by_customer in sorted(parsed.approvals.items())
+            for customer in _removed(by_customer)
         ),
     )
 
--- a/src/crocusspindle/core/tickets.py
+++ b/src/crocusspindle/core/tickets.py
@@ -26,7 +26,7 @@
 
 MAX_PENDING: Final = 1_024
 """Tickets kept behind a gap. With 10,000 entries each, more would exceed a node's
-memory; dropped tickets are requested again through ``missing``."""
+memory; a dropped ticket is read again after those before it are applied."""
 
 MAX_MISSING: Final = 256
 """Numbers returned by one ``missing`` call, so that a long gap is read in pages."""
@@ -313,8 +313,8 @@
     """Return True if no member of the view serves from an older state.
 
     ``confirmations`` has the last ticket that each member reports as applied.
-    ``ineligible`` has the members known to refuse new work: they reported it, or
-    their last freshness timestamp has expired by the calling node's clock.
+    ``ineligible`` has the members that the calling node assumes to refuse new work,
+    since their last freshness timestamp has expired by its clock.
     """
     return all(
         confirmations.get(member.member, 0) >= number or member.member in ineligible
--- a/src/crocusspindle/services/control.py
+++ b/src/crocusspindle/services/control.py
@@ -39,7 +39,7 @@
 
 MAX_KEPT_TICKETS: Final = 1_000
 """Applied tickets kept for lagging peers: several hours of an ordinary day. A peer that
-lags further starts from a snapshot."""
+lags further reads the log from the platform."""
 # Reported before the first host list is read, when its age is infinite.
 MAX_TARGETS_AGE_MS: Final = 1e12
 CONTACT_HEARTBEATS: Final = 6
@@ -180,10 +180,10 @@
         grouped: dict[ServiceId, list[Target]] = {}
         for target in targets:
             grouped.setdefault(target.service, []).append(target)
-        self.targets = {service: tuple(members) for service, members in grouped.items()}
+        self.targets = {service: tuple(listed) for service, listed in grouped.items()}
         self.groups = {
-            service: partition_targets(service, (target.target for target in members))
-            for service, members in grouped.items()
+            service: partition_targets(service, (target.target for target in listed))
+            for service, listed in grouped.items()
         }
         for call in self._on_targets:
             call()
@@ -315,8 +315,8 @@
     def _has_newer_targets(self, standing: wire.Standing, sent_ms: float) -> bool:
         """Return True if a peer read another host list later than this node did.
 
-        Equal lists share the later read time. A peer's older list shows that the peer
-        cannot read the platform, either.
+        Equal lists share the later read time. Another list that was read earlier is
+        ignored.
         """
         if standing.targets_digest == self.targets_digest:
             read_ms = sent_ms - standing.targets_age_ms
--- a/src/crocusspindle/services/coordinator.py
+++ b/src/crocusspindle/services/coordinator.py
@@ -228,9 +228,9 @@
         groups = self._control.groups.get(service, ())
         if number >= len(groups):
             return ()
-        members = set(groups[number].targets)
+        target_ids = set(groups[number].targets)
         listed = self._control.targets[service]
-        return tuple(target for target in listed if target.target in members)
+        return tuple(target for target in listed if target.target in target_ids)
 
     def _update_targets(self) -> None:
         for group, runner in self._runners.items():
--- a/src/crocusspindle/services/group_meter.py
+++ b/src/crocusspindle/services/group_meter.py
@@ -29,7 +29,7 @@
         self._requests[request] = _RequestAttempts(now_ms)
 
     def forget(self, request: RequestId) -> None:
-        """Drop a request that has ended."""
+        """Drop a request whose entry awaits no result any more."""
         self._requests.pop(request, None)
 
     def began(self, request: RequestId, attempt: AttemptId, now_ms: float) -> None:
--- a/src/crocusspindle/services/group_runner.py
+++ b/src/crocusspindle/services/group_runner.py
@@ -148,11 +148,11 @@
         self._execute(self._coordinator.arrive(arrival, now_ms()))
 
     def withdraw(self, request: HandedOverRequest) -> None:
-        """Cancel a request that its entry has withdrawn."""
+        """Give up a request; it continues if it is running and not idempotent."""
         self._execute(self._coordinator.withdraw(request.number, now_ms()))
 
     def forget(self, request: HandedOverRequest) -> None:
-        """Drop a request whose result has been sent."""
+        """Drop a request whose entry awaits no result any more."""
         self._requests.pop(request.number, None)
         self._meter.forget(request.number)
 
@@ -319,7 +319,7 @@
         if transfer is ResponseTransfer.TARGET_FAILED:
             result.end = AttemptEnd.FAILED
         elif transfer is ResponseTransfer.ENTRY_LOST:
-            # A caller that disconnects is no evidence about the target.
+            # Counts as cancelled, not as failed: the caller may have disconnected.
             result.end = AttemptEnd.SILENT
             result.detail = CANCELLED
 
@@ -343,8 +343,9 @@
         for change in changes:
             self._on_health(self, change)
             if isinstance(change, GroupSuspect):
-                # Another domain reaches the targets, so the path or this node is
-                # faulty, and another coordinator serves better.
+                # Most targets are suspected, or another domain reaches a silent one.
+                # So the path or this node is likely at fault, and another coordinator
+                # serves better.
                 self.declines_until_ms = now_ms() + DECLINE_MS
             if isinstance(change, SecondOpinionWanted):
                 task = asyncio.create_task(self._request_opinion(change.target))
@@ -377,7 +378,10 @@
 
 
 def _health_outcome(result: AttemptResult) -> HealthOutcome | None:
-    """Return an attempt's outcome for health evaluation, None if it is no evidence."""
+    """Return an attempt's outcome for health evaluation, None if it is no evidence.
+
+    An attempt that was not sent has a latency only if connecting to the target failed.
+    """
     if result.end is AttemptEnd.UNSENT:
         return HealthOutcome.REFUSED if result.latency_ms else None
     if result.end is AttemptEnd.SHED:
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -131,7 +131,7 @@
         return Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
 
     def record_loss(self) -> None:
-        """Record that a coordinator was lost or silent after it had the request.
+        """Record that a coordinator which may have the request was lost or silent.
 
         A coordinator sends a request that needs no claim without a further message.
         It may be running it, or run it after a pause, so a later refusal by another
@@ -166,8 +166,9 @@
     async def run(self, state: HandOverState) -> CoordinatorResponse | RequestFailure:
         """Return the response's head, or the failure, by the deadline.
 
-        The next coordinator is tried after one that is silent, not eligible or lost,
-        but only while the request certainly has not started or may run twice.
+        The next coordinator is tried after one that is silent or lost, is not eligible
+        or declines the group, but only while the request certainly has not started or
+        may run twice.
         """
         call = state.call
         last_refusal: RequestFailure | None = None
--- a/src/crocusspindle/services/ledger.py
+++ b/src/crocusspindle/services/ledger.py
@@ -280,7 +280,7 @@
                         await self._load()
 
     async def _expire(self) -> None:
-        """Drop old records, and their rows if this node granted them."""
+        """Drop old records, and their rows if this node made them."""
         for record in self._ledger.expire(now_ms()):
             with suppress(PlatformError):
                 await self._delete_row(record)
--- a/src/crocusspindle/services/operations.py
+++ b/src/crocusspindle/services/operations.py
@@ -36,7 +36,8 @@
 
 BEGIN_TIMEOUT_S: Final = 3.0
 """A ledger node waits 0.25 s for its peer and makes up to four table calls of a second
-each; most replies come in a few ms."""
+each; most replies come in a few ms. A slower decision is given up and its attempt
+released."""
 
 UNDECIDED_RETRY_S: Final = 0.5
 """Delay before the only retry: a heartbeat, in which the next view spreads. If a holder
--- a/src/crocusspindle/services/rates.py
+++ b/src/crocusspindle/services/rates.py
@@ -5,8 +5,7 @@
 
 from crocusspindle import instruments
 from crocusspindle.clock import now_ms
-from crocusspindle.core.holders import HolderCandidate as Holder
-from crocusspindle.core.holders import HolderSelector, holder_count
+from crocusspindle.core.holders import HolderCandidate, HolderSelector, holder_count
 from crocusspindle.core.lenders import MIN_REFUSAL_BACKOFF_MS
 from crocusspindle.core.loans import (
     MAX_GATHERS,
@@ -107,8 +106,9 @@
     async def lend_whole_token(self, customer: CustomerId, missing: float) -> Loan:
         """Lend tokens, gathering a whole one from other holders if necessary.
 
-        Two holders never gather from each other: one that is gathering lends what it
-        has.
+        A loan request does not say whether its sender holds a share, so one for a whole
+        token or more counts as sent by a node without a share. Two holders never gather
+        from each other: one that is gathering lends what it has.
         """
         loan = self.lend(customer, missing)
         if missing < 1.0 or customer in self._gathering_customers:
@@ -119,7 +119,7 @@
                 borrow = self._ledger.gather(customer, missing, now_ms())
                 if loan.amount > 0.0 or borrow is None:
                     break
-                await self._collect_loan(customer, borrow)
+                await self._borrow_without_spending(customer, borrow)
                 loan = self.lend(customer, missing)
         finally:
             self._gathering_customers.discard(customer)
@@ -131,9 +131,11 @@
         """Request idle tokens in the background, in place of spent ones."""
         borrow = self._ledger.top_up(customer, now_ms())
         if borrow is not None:
-            self.spawn(self._collect_loan(customer, borrow))
+            self.spawn(self._borrow_without_spending(customer, borrow))
 
-    async def _collect_loan(self, customer: CustomerId, borrow: Borrow) -> None:
+    async def _borrow_without_spending(
+        self, customer: CustomerId, borrow: Borrow
+    ) -> None:
         lender, sent_ms = borrow.holders[0], now_ms()
         loan = await self._request_loan(customer, lender, borrow.missing)
         if loan is None:
@@ -199,9 +201,11 @@
             self._ledger.remove_limit(customer_id, now)
 
     def _update_view(self, view: MemberView) -> None:
-        holders = [Holder(member.member, member.domain) for member in view.members]
-        self._holder_selector = HolderSelector(holders)
-        self._ledger.set_view(view.number, holders, now_ms())
+        candidates = [
+            HolderCandidate(member.member, member.domain) for member in view.members
+        ]
+        self._holder_selector = HolderSelector(candidates)
+        self._ledger.set_view(view.number, candidates, now_ms())
 
     async def _activate(self) -> None:
         # Once a majority of each earlier view has this one, no previous holder can
--- a/tests/core/test_operations.py
+++ b/tests/core/test_operations.py
@@ -170,7 +170,7 @@
     load = OperationLedger.load
 
     def skip(ledger: OperationLedger, record: Record, *rest: Any) -> None:
-        if ledger._entries.get(record.name) is None:
+        if ledger._tracked_records.get(record.name) is None:
             load(ledger, record, *rest)
 
     monkeypatch.setattr(OperationLedger, "load", skip)
