--- a/src/crocusspindle/core/ejection.py
+++ b/src/crocusspindle/core/ejection.py
@@ -75,7 +75,7 @@
     def find_replacement(
         self, record: TargetRecord, loss: float
     ) -> TargetRecord | None:
-        """Return an ejected target to serve instead whose loss is lower by a margin."""
+        """Return a target out of service to use instead, less bad by a margin."""
         missing_slots = record.target.slots - self.spare_slots()
         for other in self.out_of_service():
             if other.loss + LOSS_MARGIN > loss:
--- a/src/crocusspindle/core/members.py
+++ b/src/crocusspindle/core/members.py
@@ -224,8 +224,8 @@
     A crashed node stays in the view, and in every hash order, until it is removed. A
     node that receives nothing because one direction of its link fails would consider
     all others failed. So a silent member is removed only if a node in another failure
-    domain confirms the silence, and only by a proposer in two-way contact with a
-    majority.
+    domain (if there is one) confirms the silence, and only by a proposer in two-way
+    contact with a majority.
     """
 
     def __init__(
--- a/src/crocusspindle/core/target_record.py
+++ b/src/crocusspindle/core/target_record.py
@@ -44,7 +44,7 @@
 
     @property
     def ejected_once_for_silence(self) -> bool:
-        """Return True if the target is ejected for silence and has not relapsed."""
+        """Return True if the last ejection was for silence and not a relapse."""
         return self._cause is Cause.SILENCE and self._relapses <= 1.0
 
     def start_cold(self, now_ms: float) -> None:
@@ -84,7 +84,10 @@
         self.until_ms = now_ms + self._settings.ejection_ms
 
     def is_stale(self, age_ms: float, now_ms: float) -> bool:
-        """Return True if a request was sent before the target's last probation began.
+        """Return True if a request of this age is no evidence about the target.
+
+        That is so for any request while the target is ejected, and afterwards for one
+        that was sent before the probation began.
 
         The requests of a silent target time out seconds after its ejection and would
         count against it after its recovery.
--- a/src/crocusspindle/services/caller_server.py
+++ b/src/crocusspindle/services/caller_server.py
@@ -62,7 +62,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Respond to a malformed request, with its outcome like any other response."""
+        """Respond to a malformed request or an internal error, with the outcome."""
         if request.writer.output_size > 0:
             raise ConnectionError("the response has started; closing its connection")
         error = error_responses.INTERNAL
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -310,7 +310,7 @@
         call = state.call
         by_ms = state.dispatch_by_ms
         if by_ms is not None and not state.granted and now_ms() >= by_ms:
-            # The ledger nodes may have cancelled the operation by now.
+            # The operation's grant has expired, so no attempt of it may begin.
             await link.send(wire.HandOverFrame(withdraw=wire.Withdraw()))
             return self._failure(state, "operation-too-late")
         state.granted = True
--- a/src/crocusspindle/services/links.py
+++ b/src/crocusspindle/services/links.py
@@ -103,7 +103,7 @@
         await self._outgoing.put(frame)
 
     async def receive(self) -> Received:
-        """Return the next frame."""
+        """Return the next frame; wait for it even if the other end has stopped."""
         return await self._incoming.get()
 
 
