--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -131,7 +131,7 @@
         return Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
 
     def record_loss(self) -> None:
-        """Record that a coordinator was lost or silent after it had the request.
+        """Record that a coordinator which may have the request was lost or silent.
 
         A coordinator sends a request that needs no claim without a further message.
         It may be running it, or run it after a pause, so a later refusal by another
@@ -166,8 +166,9 @@
     async def run(self, state: HandOverState) -> CoordinatorResponse | RequestFailure:
         """Return the response's head, or the failure, by the deadline.
 
-        The next coordinator is tried after one that is silent, not eligible or lost,
-        but only while the request certainly has not started or may run twice.
+        The next coordinator is tried after one that is silent or lost, is not eligible
+        or declines the group, but only while the request certainly has not started or
+        may run twice.
         """
         call = state.call
         last_refusal: RequestFailure | None = None
@@ -309,7 +310,7 @@
         call = state.call
         by_ms = state.dispatch_by_ms
         if by_ms is not None and not state.granted and now_ms() >= by_ms:
-            # The ledger nodes may have cancelled the operation by now.
+            # The operation's grant has expired, so no attempt of it may begin.
             await link.send(wire.HandOverFrame(withdraw=wire.Withdraw()))
             return self._failure(state, "operation-too-late")
         state.granted = True
