--- a/benchmarks/health_simulation.py
+++ b/benchmarks/health_simulation.py
@@ -283,7 +283,7 @@
             if running >= target.slots:
                 continue
             weight = self.group_health.weight(name, self.now_ms)
-            if self.group_health.wants_trial(name, self.now_ms):
+            if self.group_health.needs_trial(name, self.now_ms):
                 weight = 2.0
             score = weight * (target.slots - running) * (0.5 + self._rng.random())
             if score > best_score:
@@ -296,7 +296,7 @@
         self._sequence += 1
         attempt = self._sequence
         self._running[target][attempt] = self.now_ms
-        if self.group_health.wants_trial(target, self.now_ms):
+        if self.group_health.needs_trial(target, self.now_ms):
             self.group_health.record_trial_sent(target, self.now_ms)
 
         def end() -> None:
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -309,7 +309,7 @@
         """Return 1."""
         return 1.0
 
-    def wants_trial(self, target: TargetId, now_ms: float) -> bool:
+    def needs_trial(self, target: TargetId, now_ms: float) -> bool:
         """Return False."""
         return False
 
--- a/src/crocusspindle/core/health.py
+++ b/src/crocusspindle/core/health.py
@@ -126,7 +126,7 @@
             record.evidence.add_unreached(self._settings.opinion_nats)
         return self._evaluate(record, now_ms)
 
-    def record_probe(
+    def record_health_check(
         self, target: TargetId, succeeded: bool, now_ms: float
     ) -> list[HealthChange]:
         """Record the result of a health check, which may lag or be wrong.
@@ -180,7 +180,7 @@
             return settings.suspect_weight
         return record.ramped_weight(now_ms)
 
-    def wants_trial(self, target: TargetId, now_ms: float) -> bool:
+    def needs_trial(self, target: TargetId, now_ms: float) -> bool:
         """Return True if a target on probation may get an idempotent request now."""
         record = self._records.get(target)
         if record is None or record.target.state is TargetState.LEAVING:
@@ -344,7 +344,7 @@
     ) -> list[HealthChange]:
         if sample.outcome is not Outcome.ABANDONED:
             record.evidence.observe(sample, hazard, self._reference, now_ms)
-        if record.trial_failed(sample.outcome, hazard):
+        if record.record_trial(sample.outcome, hazard):
             return self._eject(record, now_ms)
         if record.trial_passed:
             record.return_to_service(now_ms)
--- a/src/crocusspindle/core/loans.py
+++ b/src/crocusspindle/core/loans.py
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LedgerStatus:
+class ShareLedgerStatus:
     """Describe the ledger: counts, and only the emptiest shares."""
 
     view_number: int
--- a/src/crocusspindle/core/operations.py
+++ b/src/crocusspindle/core/operations.py
@@ -15,12 +15,6 @@
 from typing import Final
 
 from crocusspindle.core.members import MemberView
-from crocusspindle.core.operation_entries import (
-    EntryPhase,
-    LedgerEntries,
-    LedgerEntry,
-    LedgerLimits,
-)
 from crocusspindle.core.operation_holders import HolderHistory
 from crocusspindle.core.operation_records import (
     AlreadyRan,
@@ -50,6 +44,12 @@
     decode_record,
     encode_record,
 )
+from crocusspindle.core.tracked_records import (
+    AttemptPhase,
+    LedgerLimits,
+    TrackedRecord,
+    TrackedRecords,
+)
 from crocusspindle.ids import MemberId, ViewNumber
 
 MAX_RELEASES: Final = 1_024
@@ -57,7 +57,7 @@
 retention window ends."""
 
 _RELEASABLE: Final = frozenset(
-    {EntryPhase.REQUESTING_PEER, EntryPhase.WRITING_ROW, EntryPhase.BEGUN}
+    {AttemptPhase.REQUESTING_PEER, AttemptPhase.WRITING_ROW, AttemptPhase.BEGUN}
 )
 
 
@@ -69,7 +69,7 @@
         self._limits = limits or LedgerLimits()
         window_ms = self._limits.retention_ms + self._limits.margin_ms
         self.holder_history = HolderHistory(member, window_ms)
-        self._tracked_records = LedgerEntries(self._limits)
+        self._tracked_records = TrackedRecords(self._limits)
         self._releases: deque[Settlement] = deque(maxlen=MAX_RELEASES)
 
     def __len__(self) -> int:
@@ -100,7 +100,7 @@
         if not self.holder_history.holds(name):
             return self._refuse(NotRunReason.NOT_A_HOLDER, now_ms)
         tracked = self._tracked_records.live(name, now_ms)
-        if tracked is not None and tracked.phase is not EntryPhase.FREE:
+        if tracked is not None and tracked.phase is not AttemptPhase.FREE:
             return self._decide_existing(tracked, attempt, fingerprint, now_ms)
         refusal_reason = self._refusal_reason(tracked, attempt, authority, now_ms)
         if refusal_reason is not None:
@@ -112,7 +112,7 @@
         record = Record(name, attempt, self.member, fingerprint, RecordState.BEGUN)
         tracked = self._tracked_records.put(
             record,
-            EntryPhase.REQUESTING_PEER,
+            AttemptPhase.REQUESTING_PEER,
             authority.mode,
             self._view_number,
             now_ms,
@@ -132,7 +132,7 @@
     ) -> Decision:
         """Continue after the second holder's reply; ``reply`` is None on a timeout."""
         tracked = self._tracked_records.find_own(
-            name, attempt, self.member, EntryPhase.REQUESTING_PEER
+            name, attempt, self.member, AttemptPhase.REQUESTING_PEER
         )
         if tracked is None:
             return self._refuse(NotRunReason.TOO_LATE, now_ms)
@@ -153,7 +153,7 @@
     ) -> Decision:
         """Continue after a call on the operation's row."""
         tracked = self._tracked_records.find_own(
-            name, attempt, self.member, EntryPhase.WRITING_ROW
+            name, attempt, self.member, AttemptPhase.WRITING_ROW
         )
         if tracked is None:
             return self._refuse(NotRunReason.TOO_LATE, now_ms)
@@ -177,7 +177,7 @@
     ) -> bool:
         """Return True if an attempt granted by this node may be sent now."""
         tracked = self._tracked_records.find_own(
-            name, attempt, self.member, EntryPhase.BEGUN
+            name, attempt, self.member, AttemptPhase.BEGUN
         )
         return tracked is not None and now_ms < tracked.dispatch_by_ms
 
@@ -186,7 +186,7 @@
     ) -> Settlement | None:
         """Record the response of the only run and return the updates to send."""
         tracked = self._tracked_records.find_own(
-            name, attempt, self.member, EntryPhase.BEGUN
+            name, attempt, self.member, AttemptPhase.BEGUN
         )
         if tracked is None:
             return None
@@ -227,7 +227,7 @@
             return PeerReply(PeerVerdict.FULL)
         complete = self.holder_history.covers_window(record.name, now_ms)
         tracked = self._tracked_records.put(
-            record, EntryPhase.BEGUN, request.mode, request.view, now_ms
+            record, AttemptPhase.BEGUN, request.mode, request.view, now_ms
         )
         tracked.unflushed = request.mode is LedgerMode.PEER
         return PeerReply(PeerVerdict.RECORDED, complete)
@@ -242,7 +242,7 @@
             return
         if (
             tracked.record.origin == self.member
-            or tracked.phase is not EntryPhase.BEGUN
+            or tracked.phase is not AttemptPhase.BEGUN
         ):
             return
         if record.state is RecordState.DONE and record.response is not None:
@@ -302,7 +302,7 @@
 
     def _refusal_reason(
         self,
-        tracked: LedgerEntry | None,
+        tracked: TrackedRecord | None,
         attempt: Attempt,
         authority: DecisionAuthority,
         now_ms: float,
@@ -316,15 +316,19 @@
         return None
 
     def _decide_existing(
-        self, tracked: LedgerEntry, attempt: Attempt, fingerprint: bytes, now_ms: float
+        self,
+        tracked: TrackedRecord,
+        attempt: Attempt,
+        fingerprint: bytes,
+        now_ms: float,
     ) -> Decision:
         if tracked.record.fingerprint != fingerprint:
             return FingerprintMismatch()
         response = tracked.record.response
-        if tracked.phase is EntryPhase.DONE and response is not None:
+        if tracked.phase is AttemptPhase.DONE and response is not None:
             return AlreadyRan(response)
         is_own = (
-            tracked.record.origin == self.member and tracked.phase is EntryPhase.BEGUN
+            tracked.record.origin == self.member and tracked.phase is AttemptPhase.BEGUN
         )
         if (
             is_own
@@ -340,15 +344,18 @@
             return InProgress(retry_at_ms)
         return OutcomeUnknown(UnknownReason.ATTEMPT_LOST, retry_at_ms)
 
-    def _may_replace(self, held: LedgerEntry, request: RecordAtPeer) -> bool:
-        if held.phase is EntryPhase.FREE:
+    def _may_replace(self, held: TrackedRecord, request: RecordAtPeer) -> bool:
+        if held.phase is AttemptPhase.FREE:
             return request.record.attempt not in held.cancelled
-        if held.record.origin != request.record.origin or held.phase is EntryPhase.DONE:
+        if (
+            held.record.origin != request.record.origin
+            or held.phase is AttemptPhase.DONE
+        ):
             return False
         return held.record.attempt in (request.record.attempt, request.replaces)
 
     def _recorded(
-        self, tracked: LedgerEntry, peer_complete: bool, now_ms: float
+        self, tracked: TrackedRecord, peer_complete: bool, now_ms: float
     ) -> Decision:
         name = tracked.record.name
         complete = peer_complete or self.holder_history.covers_window(name, now_ms)
@@ -358,11 +365,11 @@
             return self._grant(tracked, now_ms)
         if not complete and self.holder_history.unflushed(name, now_ms):
             return self._abort_unknown(tracked, UnknownReason.UNFLUSHED, now_ms)
-        tracked.phase = EntryPhase.WRITING_ROW
+        tracked.phase = AttemptPhase.WRITING_ROW
         return self._write_row(tracked)
 
     def _held_by_peer(
-        self, tracked: LedgerEntry, held: Record, now_ms: float
+        self, tracked: TrackedRecord, held: Record, now_ms: float
     ) -> Decision:
         begun = held.state is RecordState.BEGUN
         if begun and held.origin == self.member and held.attempt in tracked.cancelled:
@@ -376,7 +383,7 @@
         return self._yield_to(tracked, held, now_ms)
 
     def _row_found(
-        self, tracked: LedgerEntry, result: RowResult, now_ms: float
+        self, tracked: TrackedRecord, result: RowResult, now_ms: float
     ) -> Decision:
         found = decode_record(result.value)
         if found.attempt == tracked.record.attempt:
@@ -387,13 +394,15 @@
         return self._yield_to(tracked, found, now_ms)
 
     def _row_written(
-        self, tracked: LedgerEntry, result: RowResult, now_ms: float
+        self, tracked: TrackedRecord, result: RowResult, now_ms: float
     ) -> Decision:
         tracked.row_version = result.version
         tracked.row_is_own = True
         return self._grant(tracked, now_ms)
 
-    def _yield_to(self, tracked: LedgerEntry, found: Record, now_ms: float) -> Decision:
+    def _yield_to(
+        self, tracked: TrackedRecord, found: Record, now_ms: float
+    ) -> Decision:
         """Cancel this attempt in favour of another attempt's record."""
         self._cancel(tracked)
         if found.state is RecordState.FREE:
@@ -402,7 +411,7 @@
             return FingerprintMismatch()
         if found.response is not None:
             stored = self._tracked_records.put(
-                found, EntryPhase.DONE, tracked.mode, tracked.view, now_ms
+                found, AttemptPhase.DONE, tracked.mode, tracked.view, now_ms
             )
             self._tracked_records.finish(stored, found.response)
             return AlreadyRan(found.response)
@@ -411,21 +420,21 @@
             tracked.competitor_settle_by_ms = now_ms + self._limits.settle_ms
         return self._pending(tracked.competitor_settle_by_ms, now_ms)
 
-    def _write_row(self, tracked: LedgerEntry) -> WriteRow:
+    def _write_row(self, tracked: TrackedRecord) -> WriteRow:
         record = tracked.record
         value = encode_record(record)
         return WriteRow(record.name.row_key, value, tracked.row_version)
 
-    def _grant(self, tracked: LedgerEntry, now_ms: float) -> Decision:
+    def _grant(self, tracked: TrackedRecord, now_ms: float) -> Decision:
         if now_ms >= tracked.authority_until_ms:
             return self._abort(tracked, NotRunReason.TOO_LATE, now_ms)
-        tracked.phase = EntryPhase.BEGUN
+        tracked.phase = AttemptPhase.BEGUN
         tracked.unflushed = tracked.mode is LedgerMode.PEER
         tracked.dispatch_by_ms = now_ms + self._limits.dispatch_ms
         return Granted(tracked.record.attempt, tracked.dispatch_by_ms)
 
     def _abort(
-        self, tracked: LedgerEntry, reason: NotRunReason, now_ms: float
+        self, tracked: TrackedRecord, reason: NotRunReason, now_ms: float
     ) -> Decision:
         self._cancel(tracked)
         # Only while the authority is valid can no other pair have decided on the key.
@@ -438,12 +447,12 @@
         return self._refuse(reason, now_ms, covers_earlier)
 
     def _abort_unknown(
-        self, tracked: LedgerEntry, reason: UnknownReason, now_ms: float
+        self, tracked: TrackedRecord, reason: UnknownReason, now_ms: float
     ) -> Decision:
         self._cancel(tracked)
         return OutcomeUnknown(reason, now_ms + self._limits.retry_ms)
 
-    def _cancel(self, tracked: LedgerEntry) -> None:
+    def _cancel(self, tracked: TrackedRecord) -> None:
         tracked.cancel()
         self._releases.append(self._settled(tracked))
 
@@ -452,7 +461,7 @@
     ) -> NotRun:
         return NotRun(reason, now_ms + self._limits.retry_ms, covers_earlier)
 
-    def _settled(self, tracked: LedgerEntry) -> Settlement:
+    def _settled(self, tracked: TrackedRecord) -> Settlement:
         record = tracked.record
         row = self._write_row(tracked) if tracked.row_is_own else None
         return Settlement(self.holder_history.second_holder(record.name), record, row)
--- a/src/crocusspindle/core/placement.py
+++ b/src/crocusspindle/core/placement.py
@@ -21,7 +21,7 @@
         capacity of a service below its floor.
         """
 
-    def wants_trial(self, target: TargetId, now_ms: float) -> bool:
+    def needs_trial(self, target: TargetId, now_ms: float) -> bool:
         """Return True if the target should get one idempotent request as a trial."""
 
 
@@ -58,7 +58,7 @@
 
 
 def choose_trial(
-    candidates: Iterable[Candidate], wants_trial: Callable[[TargetId], bool]
+    candidates: Iterable[Candidate], needs_trial: Callable[[TargetId], bool]
 ) -> TargetSlots | None:
     """Return an idle target on probation that needs a trial, or None.
 
@@ -68,6 +68,6 @@
     """
     for slots, weight in candidates:
         is_idle = weight <= PROBATION_WEIGHT and not slots.running
-        if is_idle and wants_trial(slots.target.target):
+        if is_idle and needs_trial(slots.target.target):
             return slots
     return None
--- a/src/crocusspindle/core/shares.py
+++ b/src/crocusspindle/core/shares.py
@@ -37,9 +37,9 @@
     MIN_GRACE_MS,
     Borrow,
     Ineligible,
-    LedgerStatus,
     Loan,
     OverRate,
+    ShareLedgerStatus,
     ShareStatus,
     SpendResult,
     Spent,
@@ -402,7 +402,7 @@
                 self._lenders.popitem(last=False)
         return lenders
 
-    def snapshot(self, now_ms: float) -> LedgerStatus:
+    def snapshot(self, now_ms: float) -> ShareLedgerStatus:
         """Return counts and the emptiest shares."""
         shares = [
             ShareStatus(
@@ -414,7 +414,7 @@
             for name, local_share in self._shares.shares().items()
         ]
         shares.sort(key=lambda share: share.tokens / (share.cap or 1.0))
-        return LedgerStatus(
+        return ShareLedgerStatus(
             view_number=self._shares.view_number or 0,
             held=len(shares),
             waiting=sum(share.opens_at_ms > now_ms for share in shares),
--- a/src/crocusspindle/core/target_pool.py
+++ b/src/crocusspindle/core/target_pool.py
@@ -109,7 +109,7 @@
         """
         if pending.arrival.idempotent and pending.attempts == 0:
             trial = choose_trial(
-                candidates, lambda target: self._weights.wants_trial(target, now_ms)
+                candidates, lambda target: self._weights.needs_trial(target, now_ms)
             )
             if trial is not None:
                 return trial
--- a/src/crocusspindle/core/target_record.py
+++ b/src/crocusspindle/core/target_record.py
@@ -122,7 +122,7 @@
         self._trial_error_nats = 0.0
         self._trial_slow_nats = 0.0
 
-    def trial_failed(self, outcome: Outcome, hazard: float) -> bool:
+    def record_trial(self, outcome: Outcome, hazard: float) -> bool:
         """Record a trial; return True if the trials indicate a bad target."""
         settings = self._settings
         if outcome in NEUTRAL:
--- a/src/crocusspindle/core/tickets.py
+++ b/src/crocusspindle/core/tickets.py
@@ -32,7 +32,7 @@
 """Numbers returned by one ``missing`` call, so that a long gap is read in pages."""
 
 
-class DirectoryView(Protocol):
+class ReferenceLookup(Protocol):
     """Query the configuration that the checked ticket will be applied to."""
 
     def has_customer(self, customer: CustomerId) -> bool:
@@ -49,7 +49,7 @@
 
 
 def check_references(
-    ticket: Ticket, directory: DirectoryView, source: str = "ticket"
+    ticket: Ticket, directory: ReferenceLookup, source: str = "ticket"
 ) -> tuple[Finding, ...]:
     """Return a finding for each reference that the ticket would leave dangling."""
     customers = {customer.customer for customer in ticket.set.customers}
@@ -91,7 +91,7 @@
 
 
 def _removal_findings(
-    ticket: Ticket, directory: DirectoryView, source: str
+    ticket: Ticket, directory: ReferenceLookup, source: str
 ) -> list[Finding]:
     found = [
         _unknown(source, f"customers.{customer}", "customer", customer)
--- a/src/crocusspindle/core/operation_entries.py
+++ b/src/crocusspindle/core/tracked_records.py
@@ -43,7 +43,7 @@
     max_row_calls: int = 4
 
 
-class EntryPhase(Enum):
+class AttemptPhase(Enum):
     """Name the phase of an attempt on this node."""
 
     REQUESTING_PEER = "asking the second holder"
@@ -54,11 +54,11 @@
 
 
 @dataclass(slots=True)
-class LedgerEntry:
+class TrackedRecord:
     """Hold one record and this node's local state for it."""
 
     record: Record
-    phase: EntryPhase
+    phase: AttemptPhase
     mode: LedgerMode
     view: ViewNumber
     settle_by_ms: float
@@ -76,7 +76,7 @@
 
     def cancel(self) -> None:
         """Mark the attempt as never run and never to run."""
-        self.phase = EntryPhase.FREE
+        self.phase = AttemptPhase.FREE
         self.cancelled[self.record.attempt] = None
         while len(self.cancelled) > MAX_CANCELLED:
             del self.cancelled[next(iter(self.cancelled))]
@@ -90,12 +90,12 @@
     return replace(record, state=state, response=response)
 
 
-class LedgerEntries:
+class TrackedRecords:
     """Store records by operation, bounded in number and in response bytes."""
 
     def __init__(self, limits: LedgerLimits) -> None:
         self._limits = limits
-        self._records: dict[OperationName, LedgerEntry] = {}
+        self._records: dict[OperationName, TrackedRecord] = {}
         self._response_bytes = 0
 
     def __len__(self) -> int:
@@ -110,11 +110,11 @@
         """
         return len(self._records) >= self._limits.max_records
 
-    def get(self, name: OperationName) -> LedgerEntry | None:
+    def get(self, name: OperationName) -> TrackedRecord | None:
         """Return the record, even after its retention window."""
         return self._records.get(name)
 
-    def live(self, name: OperationName, now_ms: float) -> LedgerEntry | None:
+    def live(self, name: OperationName, now_ms: float) -> TrackedRecord | None:
         """Return the record unless its retention window has ended."""
         tracked = self._records.get(name)
         if tracked is None or tracked.expires_at_ms <= now_ms:
@@ -122,8 +122,12 @@
         return tracked
 
     def find_own(
-        self, name: OperationName, attempt: Attempt, origin: MemberId, phase: EntryPhase
-    ) -> LedgerEntry | None:
+        self,
+        name: OperationName,
+        attempt: Attempt,
+        origin: MemberId,
+        phase: AttemptPhase,
+    ) -> TrackedRecord | None:
         """Return the record of an attempt that began here, if it is in the phase."""
         tracked = self._records.get(name)
         if tracked is None or tracked.record.attempt != attempt:
@@ -135,14 +139,14 @@
     def put(
         self,
         record: Record,
-        phase: EntryPhase,
+        phase: AttemptPhase,
         mode: LedgerMode,
         view: ViewNumber,
         now_ms: float,
-    ) -> LedgerEntry:
+    ) -> TrackedRecord:
         """Store a new record in place of a free or replaced one."""
         limits = self._limits
-        tracked = LedgerEntry(
+        tracked = TrackedRecord(
             record,
             phase,
             mode,
@@ -172,20 +176,20 @@
         if existing is None and self.full:
             return
         if existing is not None and (
-            existing.phase is not EntryPhase.FREE
+            existing.phase is not AttemptPhase.FREE
             or record.attempt in existing.cancelled
         ):
             return
-        tracked = self.put(record, EntryPhase.BEGUN, LedgerMode.TABLE, view, now_ms)
+        tracked = self.put(record, AttemptPhase.BEGUN, LedgerMode.TABLE, view, now_ms)
         tracked.row_version = row_version
         if record.state is RecordState.FREE:
             tracked.cancel()
         elif record.response is not None:
             self.finish(tracked, record.response)
 
-    def finish(self, tracked: LedgerEntry, response: StoredResponse) -> None:
+    def finish(self, tracked: TrackedRecord, response: StoredResponse) -> None:
         """Store a response, without its body if that exceeds the bounds."""
-        tracked.phase = EntryPhase.DONE
+        tracked.phase = AttemptPhase.DONE
         body = response.body
         if body is not None:
             room = self._limits.max_response_bytes - self._response_bytes
--- a/src/crocusspindle/services/backend.py
+++ b/src/crocusspindle/services/backend.py
@@ -49,7 +49,7 @@
 from crocusspindle.services.peers import Peers
 from crocusspindle.services.rates import RatesService
 from crocusspindle.services.ticket_apply import (
-    DirectoryFacts,
+    DirectoryLookup,
     changes_of,
     states_of,
 )
@@ -169,7 +169,7 @@
             raise TicketError([Finding("ticket", "number", message)])
         directory = self._control.directory
         findings = [
-            *check_references(ticket, DirectoryFacts(directory)),
+            *check_references(ticket, DirectoryLookup(directory)),
             *directory.check(changes_of(ticket)),
         ]
         if findings:
--- a/src/crocusspindle/services/coordinator.py
+++ b/src/crocusspindle/services/coordinator.py
@@ -48,7 +48,7 @@
 from crocusspindle.settings_schema import LimitSettings
 from crocusspindle.wire import fleet_pb2 as wire
 
-Group = tuple[ServiceId, int]
+GroupId = tuple[ServiceId, int]
 
 COORDINATOR_UNFIT: Final = "home-unfit"
 QUEUED_FRAME_DELAY_S: Final = 0.02
@@ -81,7 +81,7 @@
         self._limits = limits
         self._metrics = metrics
         self._client = TargetClient()
-        self._runners: dict[Group, GroupRunner] = {}
+        self._runners: dict[GroupId, GroupRunner] = {}
         self._request_numbers = count(1)
         self._logger = Logger("home")
         control.watch(change=self._apply_change, targets=self._update_targets)
@@ -197,7 +197,7 @@
             )
         return groups_status
 
-    def _get_runner(self, group: Group) -> GroupRunner:
+    def _get_runner(self, group: GroupId) -> GroupRunner:
         runner = self._runners.get(group)
         if runner is not None:
             return runner
@@ -223,7 +223,7 @@
         runner.set_targets(self._targets_of(group))
         return runner
 
-    def _targets_of(self, group: Group) -> tuple[Target, ...]:
+    def _targets_of(self, group: GroupId) -> tuple[Target, ...]:
         service, number = group
         groups = self._control.groups.get(service, ())
         if number >= len(groups):
--- a/src/crocusspindle/services/entry.py
+++ b/src/crocusspindle/services/entry.py
@@ -44,7 +44,7 @@
 )
 from crocusspindle.services.peers import Peers
 from crocusspindle.services.rates import RatesService
-from crocusspindle.services.targets import CUSTOMER, DEADLINE, REQUEST_ID, forwarded
+from crocusspindle.services.targets import CUSTOMER, REQUEST_ID, TIMEOUT, forwarded
 from crocusspindle.settings_schema import NodeSettings
 
 WHERE_PATH: Final = "/.well-known/crocusspindle/where"
@@ -60,7 +60,7 @@
         "host",
         "content-length",
         CUSTOMER.lower(),
-        DEADLINE.lower(),
+        TIMEOUT.lower(),
         REQUEST_ID.lower(),
     }
 )
@@ -328,7 +328,7 @@
     def _deadline_ms(self, request: web.BaseRequest, route: Route) -> float:
         service = self._control.directory.service(route.service)
         max_ms = MAX_TIMEOUT_MS if service is None else service.timeout_ms
-        text = request.headers.get(DEADLINE)
+        text = request.headers.get(TIMEOUT)
         if text is None:
             return now_ms() + max_ms
         try:
--- a/src/crocusspindle/services/hand_over.py
+++ b/src/crocusspindle/services/hand_over.py
@@ -72,7 +72,7 @@
         return not self.idempotent or self.has_body
 
     @property
-    def replayable(self) -> bool:
+    def retryable(self) -> bool:
         """Return True if another coordinator may run it after one has started it."""
         return self.idempotent and self.body_rest is None
 
@@ -188,7 +188,7 @@
                 self._avoided_until_ms[coordinator] = now_ms() + AVOIDANCE_MS
                 state.record_loss()
                 await state.close()
-                if state.granted and not call.replayable:
+                if state.granted and not call.retryable:
                     return self._failure(state, "home-lost")
                 continue
             if (
--- a/src/crocusspindle/services/ledger.py
+++ b/src/crocusspindle/services/ledger.py
@@ -8,7 +8,6 @@
 from crocusspindle import instruments
 from crocusspindle.clock import now_ms
 from crocusspindle.core.members import MemberView
-from crocusspindle.core.operation_entries import LedgerLimits
 from crocusspindle.core.operation_records import (
     TABLE,
     Attempt,
@@ -30,6 +29,7 @@
     encode_record,
 )
 from crocusspindle.core.operations import OperationLedger
+from crocusspindle.core.tracked_records import LedgerLimits
 from crocusspindle.errors import (
     PlatformError,
     PlatformUnavailableError,
--- a/src/crocusspindle/services/operator_rights.py
+++ b/src/crocusspindle/services/operator_permissions.py
@@ -26,7 +26,7 @@
     return matching
 
 
-def check_rights(principal: Principal, summary: TicketSummary) -> list[Finding]:
+def check_permissions(principal: Principal, summary: TicketSummary) -> list[Finding]:
     """Return a finding for each change that the principal may not make."""
     if principal.role is Role.VIEWER:
         return [Finding(SOURCE, ".", "viewers submit no tickets")]
--- a/src/crocusspindle/services/operator_port.py
+++ b/src/crocusspindle/services/operator_port.py
@@ -25,7 +25,10 @@
 from crocusspindle.log_lines import Logger, log_state_change
 from crocusspindle.metrics import Metrics
 from crocusspindle.services.operator_api import OperatorBackend
-from crocusspindle.services.operator_rights import check_rights, find_principal
+from crocusspindle.services.operator_permissions import (
+    check_permissions,
+    find_principal,
+)
 from crocusspindle.settings_schema import Principal, Role
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -105,7 +108,7 @@
             raise _RefusalError(403, "viewers submit no tickets")
         document = await _read_body(request)
         summary = await self._backend.validate(document)
-        findings = check_rights(principal, summary)
+        findings = check_permissions(principal, summary)
         if findings:
             raise _RefusalError(403, "not allowed", findings)
         result = await self._backend.submit(document, principal)
@@ -118,7 +121,7 @@
     async def validate(self, request: web.Request) -> web.Response:
         """Check a ticket and the permissions of its sender; record nothing."""
         summary = await self._backend.validate(await _read_body(request))
-        findings = check_rights(request[_PRINCIPAL], summary)
+        findings = check_permissions(request[_PRINCIPAL], summary)
         if findings:
             raise _RefusalError(403, "not allowed", findings)
         return _json(summary)
--- a/src/crocusspindle/services/rates.py
+++ b/src/crocusspindle/services/rates.py
@@ -11,9 +11,9 @@
     MAX_GATHERS,
     Borrow,
     Ineligible,
-    LedgerStatus,
     Loan,
     OverRate,
+    ShareLedgerStatus,
     SpendResult,
     Spent,
 )
@@ -148,7 +148,7 @@
         count = holder_count(customer.rate_per_s, customer.burst)
         return self._holder_selector.holders(customer.customer, count)
 
-    def status(self) -> LedgerStatus:
+    def status(self) -> ShareLedgerStatus:
         """Return the state of the shares held by this member."""
         return self._ledger.snapshot(now_ms())
 
--- a/src/crocusspindle/services/targets.py
+++ b/src/crocusspindle/services/targets.py
@@ -14,7 +14,7 @@
 
 REQUEST_ID: Final = "Crocusspindle-Request-Id"
 CUSTOMER: Final = "Crocusspindle-Customer"
-DEADLINE: Final = "Crocusspindle-Timeout-Ms"
+TIMEOUT: Final = "Crocusspindle-Timeout-Ms"
 TARGET_OUTCOME: Final = "Target-Outcome"
 NOT_RUN: Final = "not-run"
 SERVER_ERROR: Final = 500
@@ -148,7 +148,7 @@
         headers = CIMultiDict(request.headers)
         headers[REQUEST_ID] = request.request
         headers[CUSTOMER] = request.customer
-        headers[DEADLINE] = f"{remaining_ms:.0f}"
+        headers[TIMEOUT] = f"{remaining_ms:.0f}"
         return await self._session.request(
             request.method,
             f"http://{target}{request.path}",
--- a/src/crocusspindle/services/ticket_apply.py
+++ b/src/crocusspindle/services/ticket_apply.py
@@ -17,7 +17,7 @@
 NO_CUSTOMER = CustomerId("")
 
 
-class DirectoryFacts:
+class DirectoryLookup:
     """Provide a directory's state to the reference check of a ticket."""
 
     def __init__(self, directory: Directory) -> None:
--- a/tests/core/coordinator_fakes.py
+++ b/tests/core/coordinator_fakes.py
@@ -21,7 +21,7 @@
     def weight(self, target, now_ms):
         return self.weights.get(target, 1.0)
 
-    def wants_trial(self, target, now_ms):
+    def needs_trial(self, target, now_ms):
         return target in self.trials
 
 
--- a/tests/core/ledger_simulation.py
+++ b/tests/core/ledger_simulation.py
@@ -3,7 +3,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from crocusspindle.core.operation_entries import LedgerLimits
 from crocusspindle.core.operation_records import (
     AlreadyRan,
     Attempt,
@@ -23,6 +22,7 @@
     WriteRow,
     decode_record,
 )
+from crocusspindle.core.tracked_records import LedgerLimits
 from crocusspindle.ids import AttemptId, MemberId, ViewNumber
 from tests.core.small_fleet import Fleet, Node
 
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -179,7 +179,7 @@
     trial.behaviours[gray] = since(BEGIN_MS, failing(0.3))
     for now_ms in range(0, 40_000, 250):
         trial.run_until(float(now_ms))
-        assert trial.group_health.record_probe(gray, True, trial.now_ms) == []
+        assert trial.group_health.record_health_check(gray, True, trial.now_ms) == []
     health = {row.target: row for row in trial.group_health.snapshot(trial.now_ms)}
     assert health[gray].state in (HealthState.EJECTED, HealthState.PROBATION)
 
@@ -189,5 +189,8 @@
     trial = run_trial(healthy)
     target = trial.targets[0].target
     for step in range(1_000):
-        assert trial.group_health.record_probe(target, False, trial.now_ms + step) == []
+        assert (
+            trial.group_health.record_health_check(target, False, trial.now_ms + step)
+            == []
+        )
     assert trial.group_health.weight(target, trial.now_ms + 1_000.0) == 1.0
--- a/tests/core/test_health_floor.py
+++ b/tests/core/test_health_floor.py
@@ -108,7 +108,7 @@
         name = self.targets[number % len(self.targets)].target
         group_health = self.coordinators[coordinator]
         group_health.second_opinion(name, reached, self.now_ms)
-        group_health.record_probe(name, reached, self.now_ms)
+        group_health.record_health_check(name, reached, self.now_ms)
         group_health.record_outstanding(name, [60_000.0 * reached] * 2, self.now_ms)
 
     @rule(step_ms=st.sampled_from([100.0, 1_000.0, 20_000.0]))
